--- a/packages/callers/src/routes/route-server.ts
+++ b/packages/callers/src/routes/route-server.ts
@@ -3,7 +3,7 @@
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 
-import { endToEndList, outgoingFields } from '@peridotspring/mesh-core';
+import { endToEndHeaders, toOutgoingHeaders } from '@peridotspring/mesh-core';
 import type {
   CallerLimits,
   EntryOutcome,
@@ -120,7 +120,7 @@
     switch (outcome.kind) {
       case 'answered': {
         const { body, headers, status } = outcome;
-        this.write(requestNumber, { body, fields: outgoingFields(headers), status });
+        this.write(requestNumber, { body, fields: toOutgoingHeaders(headers), status });
         return;
       }
       case 'refused': {
@@ -222,7 +222,7 @@
     this.options.deliver({
       body,
       callerDeadline: readAt + this.patienceOf(message, route),
-      headers: endToEndList(message.rawHeaders, names.reserved),
+      headers: endToEndHeaders(message.rawHeaders, names.reserved),
       method: message.method ?? 'GET',
       path: message.url ?? '/',
       receivedAt: readAt,
--- a/packages/daemon/src/mesh/directory-keeper.ts
+++ b/packages/daemon/src/mesh/directory-keeper.ts
@@ -38,11 +38,11 @@
 
   /** Whether the directory was read and half of the wanted connections are up. */
   public get isMostlyConnected(): boolean {
-    return this.isRead && this.directory.connected * 2 >= this.directory.wanted;
+    return this.isRead && this.directory.connectedCount * 2 >= this.directory.wantedConnectionCount;
   }
 
   public mentioned(node: MeshNode, now: number): void {
-    if (this.directory.mentioned(node, now)) this.newlyKnown += 1;
+    if (this.directory.onNodeAnnounced(node, now)) this.newlyKnown += 1;
   }
 
   /** All entries of the store have been mentioned. */
@@ -54,18 +54,18 @@
   /** One line for all: a node that starts in a large fleet hears of hundreds at once. */
   public tellNewlyKnown(source: string): void {
     if (this.newlyKnown === 0) return;
-    const known = this.directory.size - 1;
+    const known = this.directory.nodeCount - 1;
     this.options.log(MeshEvent.NodesKnown, { known, nodes: this.newlyKnown, source });
     this.newlyKnown = 0;
   }
 
   public tick(now: number): void {
     const { isRemover, log, store } = this.options;
-    for (const node of this.directory.takeForgotten()) {
+    for (const node of this.directory.takeForgottenNodes()) {
       log(MeshEvent.NodeForgotten, { peer: node.name });
       if (isRemover()) store().removeEntry(node);
     }
-    if (this.directory.connected > 0) this.rereadAt = now + isolatedRereadMilliseconds;
+    if (this.directory.connectedCount > 0) this.rereadAt = now + isolatedRereadMilliseconds;
     if (now < this.rereadAt) return;
     this.rereadAt = now + isolatedRereadMilliseconds;
     store().refreshDirectory();
--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -1,7 +1,7 @@
 import type { RouteServer, RoutingView } from '@peridotspring/callers';
 import type { RandomSource } from '@peridotspring/core';
 import {
-  CompletionPolicy,
+  PlacementPolicy,
   EndedServers,
   isSameZone,
   LoadAnnouncer,
@@ -9,7 +9,7 @@
   RequestForwarder,
   ServerGate,
   ServerState,
-  TargetBook,
+  GateTable,
   TrafficSplit,
 } from '@peridotspring/mesh-core';
 import type {
@@ -100,7 +100,7 @@
   public readonly directory: NodeDirectory;
   private readonly directoryKeeper: DirectoryKeeper;
   private readonly configuration: ConfigurationFollower;
-  private readonly targets = new TargetBook();
+  private readonly targets = new GateTable();
   private readonly split: TrafficSplit;
   private readonly budget: RepeatBudget;
   private readonly forwarder: RequestForwarder;
@@ -173,12 +173,12 @@
       service: self.service,
     });
     this.forwarder = new RequestForwarder({
-      budget: this.budget,
+      retryBudget: this.budget,
       callerService: self.service,
       log: ({ event, fields }) => {
         this.log(event, fields);
       },
-      policy: new CompletionPolicy({ ...self, random }),
+      placementPolicy: new PlacementPolicy({ ...self, random }),
       port: {
         respond: (request, outcome) => {
           options.ports().callers.respond(request, outcome);
@@ -186,9 +186,9 @@
         send: (node, frame) => this.send(node, frame),
       },
       random,
-      targets: this.targets,
+      gates: this.targets,
     });
-    this.targets.connected(self, this.gate.load(this.startedAt), this.startedAt);
+    this.targets.onConnected(self, this.gate.load(this.startedAt), this.startedAt);
   }
 
   public start(): void {
@@ -222,11 +222,11 @@
       gate_concurrency_limit: load.limit,
       gate_running: load.running,
       gate_waiting: load.waiting,
-      nodes_connected: this.directory.connected,
-      nodes_gone: this.directory.gone,
-      nodes_known: this.directory.size - 1,
-      nodes_wanted: this.directory.wanted,
-      requests_in_progress: this.forwarder.inProgress,
+      nodes_connected: this.directory.connectedCount,
+      nodes_gone: this.directory.lostNodeCount,
+      nodes_known: this.directory.nodeCount - 1,
+      nodes_wanted: this.directory.wantedConnectionCount,
+      requests_in_progress: this.forwarder.inProgressCount,
       server_failure_share: load.failureShare,
       server_probes_allowed_per_second: this.gate.probesPerSecond,
       server_service_milliseconds: load.serviceMilliseconds,
@@ -248,8 +248,8 @@
   public get greeting(): MeshGreeting {
     return {
       configurationVersion: this.configuration.version,
-      endedServers: this.endedServers.recent(this.options.clock()),
-      knownNodes: this.directory.size - 1,
+      endedServers: this.endedServers.listRecent(this.options.clock()),
+      knownNodes: this.directory.nodeCount - 1,
       load: this.gate.load(this.options.clock()),
       reachesStore: this.configuration.reachesStore,
       storeEra: this.configuration.storeEra,
@@ -273,14 +273,14 @@
 
   public callerRequest(request: EntryRequest): void {
     const now = this.options.clock();
-    const service = this.split.choose(request.route);
+    const service = this.split.chooseService(request.route);
     const parent = this.gate.parentOf(request.requestId);
     if (parent?.repeat === true) this.budget.charge(service, now);
-    this.forwarder.begin(request, service, parent !== undefined, now);
+    this.forwarder.forward(request, service, parent !== undefined, now);
   }
 
   public callerGone(requestNumber: number): void {
-    this.forwarder.abandon(requestNumber, this.options.clock());
+    this.forwarder.onCallerDisconnected(requestNumber, this.options.clock());
   }
 
   public executionConcluded(executionId: number, result: ExecutionResult): void {
@@ -336,15 +336,15 @@
     const { knownNodes, load, node } = hello;
     const now = this.options.clock();
     this.log(MeshEvent.NodeConnected, { boot: node.boot, peer: node.name });
-    this.directory.connectedTo(node, now);
+    this.directory.onConnected(node, now);
     this.hearEndedServers(hello, now);
-    this.targets.connected(node, load, now);
-    this.forwarder.connectionRestored(node.name, node.boot, now);
+    this.targets.onConnected(node, load, now);
+    this.forwarder.onConnectionRestored(node.name, node.boot, now);
     const { links } = this.options.ports();
     this.configuration.connected(hello);
     // A node that the store does not answer learns of the others; it needs the list a few times only.
     const tells = this.configuration.isWatching || isSameZone(node, this.options.self);
-    if (tells && knownNodes * 2 < this.directory.size - 1) {
+    if (tells && knownNodes * 2 < this.directory.nodeCount - 1) {
       links.send(node.name, { kind: 'members', members: this.directory.nodes() });
     }
   }
@@ -352,17 +352,17 @@
   public disconnected({ name }: MeshNode, detail: string): void {
     const now = this.options.clock();
     this.log(MeshEvent.NodeDisconnected, { detail, peer: name });
-    this.directory.disconnected(name, now);
-    this.targets.disconnected(name);
+    this.directory.onDisconnected(name, now);
+    this.targets.onDisconnected(name);
     this.configuration.disconnected(name);
-    this.forwarder.connectionLost(name, now);
+    this.forwarder.onConnectionLost(name, now);
   }
 
   public dialFailed({ name }: MeshNode, detail: string, isRefused: boolean): void {
     const now = this.options.clock();
     this.log(MeshEvent.DialFailed, { detail, peer: name });
-    this.directory.dialFailed(name, now);
-    if (isRefused) this.forwarder.nodeEnded(name, now);
+    this.directory.onDialFailed(name, now);
+    if (isRefused) this.forwarder.onNodeEnded(name, now);
   }
 
   public frame(from: MeshNode, frame: MeshFrame): void {
@@ -379,13 +379,13 @@
       case 'answered':
       case 'declined':
       case 'failed':
-        this.forwarder.reply(from.name, frame, now);
+        this.forwarder.onReply(from.name, frame, now);
         return;
       case 'load':
         if (isEndedServer(frame.endedServer)) {
-          this.endedServers.note(from.name, frame.endedServer, now);
+          this.endedServers.record(from.name, frame.endedServer, now);
         }
-        this.targets.reported(from.name, frame.load, now);
+        this.targets.onLoadReported(from.name, frame.load, now);
         return;
       case 'configuration':
         if (frame.version > this.configuration.version) {
@@ -408,7 +408,7 @@
         return;
       case 'leaving':
         // The directory keeps it: it may start again while the store is away, and then waits to be dialed.
-        this.targets.forget(from.name);
+        this.targets.remove(from.name);
     }
   }
 
@@ -424,7 +424,7 @@
   private configured({ limits, routes, version }: RouteConfiguration): void {
     const routeNames = new Set(routes.map(({ name }) => name));
     this.split.retain(routeNames);
-    this.forwarder.configured(routeNames, version);
+    this.forwarder.onConfigurationChange(routeNames, version);
     this.gate.configured(routeNames);
     this.options.ports().callers.configure(limits);
   }
@@ -435,7 +435,7 @@
     this.announceDueAt = now + announceMilliseconds;
     const load = this.gate.load(now);
     for (const node of this.announcer.due(load, now)) {
-      if (node === this.options.self.name) this.targets.reported(node, load, now);
+      if (node === this.options.self.name) this.targets.onLoadReported(node, load, now);
       else this.options.ports().links.send(node, { kind: 'load', load });
     }
   }
@@ -454,7 +454,7 @@
   private loadChanged(): void {
     const now = this.options.clock();
     const load = this.gate.load(now);
-    this.targets.reported(this.options.self.name, load, now);
+    this.targets.onLoadReported(this.options.self.name, load, now);
     const endedServer =
       load.state === ServerState.Ready || !this.gate.hasServerLeft
         ? undefined
@@ -500,7 +500,7 @@
   /** Takes up what the server said once others have been heard, or there was time enough to. */
   private hearServer(now: number): void {
     if (this.inbox.isOpen) return;
-    const isHeard = this.directory.connected > 0 && this.directoryKeeper.isMostlyConnected;
+    const isHeard = this.directory.connectedCount > 0 && this.directoryKeeper.isMostlyConnected;
     if (isHeard || now - this.startedAt >= hearOthersMilliseconds) this.inbox.open();
   }
 
@@ -537,9 +537,9 @@
     const { links } = this.options.ports();
     this.upkeepDueAt = now + idleTickMilliseconds;
     links.tick(now);
-    for (const node of this.directory.dueForDial(now)) links.dial(node);
+    for (const node of this.directory.takeNodesToDial(now)) links.dial(node);
     this.directoryKeeper.tick(now);
-    this.budget.shareBetween(this.directory.size);
+    this.budget.shareBetween(this.directory.nodeCount);
     this.configuration.tick(now);
     this.hearServer(now);
     this.checkHealth(now);
@@ -547,7 +547,7 @@
 
   private get inProgress(): number {
     const { callers } = this.options.ports();
-    return this.forwarder.inProgress + this.gate.inProgress + callers.inProgress;
+    return this.forwarder.inProgressCount + this.gate.inProgress + callers.inProgress;
   }
 
   /** A node that started again learns its server's lifetime before the server's next report. */
--- a/packages/daemon/tests/configuration-follower.test.ts
+++ b/packages/daemon/tests/configuration-follower.test.ts
@@ -1,5 +1,5 @@
 import type { MeshFrame } from '@peridotspring/mesh-core';
-import { configuration, load, node } from '@peridotspring/mesh-core/fixtures';
+import { createConfiguration, createLoad, createNode } from '@peridotspring/mesh-core/fixtures';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
@@ -21,7 +21,7 @@
       if (Number.isNaN(version)) {
         return { field: 'version', kind: 'invalid', message: 'not a number' };
       }
-      return { configuration: configuration({ version }), kind: 'configuration' };
+      return { configuration: createConfiguration({ version }), kind: 'configuration' };
     },
     log: (event, fields) => this.events.push(`${event} ${JSON.stringify(fields)}`),
     ports: () => ({
@@ -39,7 +39,7 @@
         watchConfiguration: (isWatching) => this.watching.push(isWatching),
       },
     }),
-    self: node('self'),
+    self: createNode('self'),
   });
 
   public read(version: string, source = 'store'): void {
@@ -51,8 +51,8 @@
       configurationVersion,
       kind: 'hello',
       knownNodes: 1,
-      load: load(),
-      node: node(name),
+      load: createLoad(),
+      node: createNode(name),
       protocol: 2,
       reachesStore: true,
     });
--- a/packages/daemon/tests/directory-keeper.test.ts
+++ b/packages/daemon/tests/directory-keeper.test.ts
@@ -1,5 +1,5 @@
 import type { MeshNode } from '@peridotspring/mesh-core';
-import { node } from '@peridotspring/mesh-core/fixtures';
+import { createNode } from '@peridotspring/mesh-core/fixtures';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
@@ -13,7 +13,7 @@
   public readonly keeper = new DirectoryKeeper({
     isRemover: () => this.isRemover,
     log: (event, fields) => this.lines.push(`${event} ${JSON.stringify(fields)}`),
-    self: node('self'),
+    self: createNode('self'),
     startedAt: 0,
     store: () => ({
       refreshDirectory: () => {
@@ -29,7 +29,7 @@
   public dialInVain(milliseconds: number): void {
     for (let now = 0; now < milliseconds; now += 50) {
       const { directory } = this.keeper;
-      for (const { name } of directory.dueForDial(now)) directory.dialFailed(name, now);
+      for (const { name } of directory.takeNodesToDial(now)) directory.onDialFailed(name, now);
       this.keeper.tick(now);
     }
   }
@@ -39,12 +39,12 @@
   test(`a node dialed in vain for a minute is forgotten; ${isRemover ? 'its entry goes' : 'others remove its entry'}`, () => {
     const bench = new Bench();
     bench.isRemover = isRemover;
-    bench.keeper.mentioned(node('b'), 0);
+    bench.keeper.mentioned(createNode('b'), 0);
     bench.dialInVain(59_000);
     assert.equal(bench.removed, []);
     bench.dialInVain(65_000);
     assert.equal(bench.removed, isRemover ? ['b'] : []);
-    assert.is(bench.keeper.directory.size, 1);
+    assert.is(bench.keeper.directory.nodeCount, 1);
   });
 }
 
@@ -53,14 +53,14 @@
   bench.dialInVain(12_000);
   assert.is(bench.reads, 2);
   const connected = new Bench();
-  connected.keeper.directory.connectedTo(node('b'), 0);
+  connected.keeper.directory.onConnected(createNode('b'), 0);
   connected.dialInVain(12_000);
   assert.is(connected.reads, 0);
 });
 
 test('nodes that were heard of are told in one line', () => {
   const bench = new Bench();
-  for (const name of ['b', 'c', 'd']) bench.keeper.mentioned(node(name), 0);
+  for (const name of ['b', 'c', 'd']) bench.keeper.mentioned(createNode(name), 0);
   bench.keeper.read();
   bench.keeper.read();
   assert.equal(bench.lines, ['nodes-known {"known":3,"nodes":3,"source":"store"}']);
@@ -68,13 +68,13 @@
 
 test('a node is mostly connected once the directory was read and half of the connections are up', () => {
   const { keeper } = new Bench();
-  for (const name of ['b', 'c', 'd']) keeper.mentioned(node(name), 0);
-  keeper.directory.connectedTo(node('b'), 1);
-  keeper.directory.connectedTo(node('c'), 1);
+  for (const name of ['b', 'c', 'd']) keeper.mentioned(createNode(name), 0);
+  keeper.directory.onConnected(createNode('b'), 1);
+  keeper.directory.onConnected(createNode('c'), 1);
   assert.is(keeper.isMostlyConnected, false);
   keeper.read();
   assert.is(keeper.isMostlyConnected, true);
-  keeper.directory.disconnected('c', 2);
+  keeper.directory.onDisconnected('c', 2);
   assert.is(keeper.isMostlyConnected, false);
 });
 
--- a/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
@@ -1,7 +1,7 @@
 import { pickRandom } from '@peridotspring/core';
 import type { SeededRandomSource } from '@peridotspring/core';
 import type { EntryOutcome, MeshNode, Route, RouteConfiguration } from '@peridotspring/mesh-core';
-import { configuration, route } from '@peridotspring/mesh-core/fixtures';
+import { createConfiguration, createRoute } from '@peridotspring/mesh-core/fixtures';
 import { Metrics } from '@peridotspring/operators/metrics';
 
 import { EventRecorder } from '../../src/mesh/event-recorder.js';
@@ -419,7 +419,7 @@
 
 function configurationOf(version: number): RouteConfiguration {
   const routeOf = (name: string, idempotent: boolean): Route =>
-    route({
+    createRoute({
       host: 'shop',
       idempotent,
       name,
@@ -427,7 +427,7 @@
       targetLatencyMilliseconds: targetMilliseconds,
       timeoutMilliseconds,
     });
-  return configuration({
+  return createConfiguration({
     routes: [routeOf('safe', true), routeOf('unsafe', false)],
     services: new Map([['shop', { connectionLimit: 100, healthPath: '/health', name: 'shop' }]]),
     version,
--- a/packages/mesh-core/src/entry/entry-contract.ts
+++ b/packages/mesh-core/src/entry/entry-contract.ts
@@ -1,9 +1,9 @@
 import type { HeaderList, RequestFrame } from '../messages/mesh-frames.js';
 import type { Route } from '../routes/route-configuration.js';
 
-/** A caller's request with its whole body. */
+/** A caller's request, with its complete body. */
 export interface EntryRequest {
-  /** Unique in the life of the node. */
+  /** Unique among all requests that this process of the node has received. */
   readonly requestNumber: number;
   readonly requestId: string;
   readonly method: string;
@@ -11,15 +11,15 @@
   readonly headers: HeaderList;
   readonly body: Uint8Array | undefined;
   readonly route: Route;
-  /** Monotonic time when the request came in. */
+  /** Monotonic time at which the request was received. */
   readonly receivedAt: number;
-  /** Monotonic time until which the caller waits. */
+  /** Monotonic time at which the caller stops waiting; infinite if the caller stated no limit. */
   readonly callerDeadline: number;
 }
 
 export const RefusalCause = {
   DeadlineTooShort: 'deadline-too-short',
-  /** Every server of the service has more to do than it can finish in time. */
+  /** No server of the service has the capacity to run the request before its deadline. */
   Overloaded: 'overloaded',
   NoServer: 'no-server',
 } as const;
@@ -31,7 +31,7 @@
 } as const;
 export type UnknownCause = (typeof UnknownCause)[keyof typeof UnknownCause];
 
-/** How a request ended. */
+/** The outcome of a request. */
 export type EntryOutcome =
   | {
       readonly kind: 'answered';
@@ -39,23 +39,23 @@
       readonly headers: HeaderList;
       readonly body: Uint8Array;
     }
-  /** The request did not run and will not. */
+  /** The request did not run and will not run, so the caller may safely send it again. */
   | {
       readonly kind: 'refused';
       readonly cause: RefusalCause;
       readonly retryAfterMilliseconds: number;
     }
-  /** The request may have run. */
+  /** The request may or may not have run. */
   | { readonly kind: 'unknown'; readonly cause: UnknownCause };
 
-/** How the entry acts on the world. */
+/** The I/O operations that the entry needs. */
 export interface EntryPort {
-  /** False if there is no connection to the node, so that nothing was sent. */
-  send(node: string, frame: RequestFrame): boolean;
+  /** Returns false if there is no connection to the node; in that case nothing was sent. */
+  send(nodeName: string, frame: RequestFrame): boolean;
   respond(request: EntryRequest, outcome: EntryOutcome): void;
 }
 
-/** Names of the entry's events; they are stable, since operators filter and alert by them. */
+/** Names of the entry's log events. They must not change, because operators filter and alert by them. */
 export const EntryEventName = {
   AttemptFailed: 'attempt-failed',
   RequestAbandoned: 'request-abandoned',
@@ -67,7 +67,7 @@
 } as const;
 export type EntryEventName = (typeof EntryEventName)[keyof typeof EntryEventName];
 
-/** One line of the entry's log. */
+/** A log event of the entry. */
 export interface EntryEvent {
   readonly event: EntryEventName;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
--- a/packages/mesh-core/src/entry/request-forwarder.ts
+++ b/packages/mesh-core/src/entry/request-forwarder.ts
@@ -11,60 +11,67 @@
   ReplyFrame,
   StartFrame,
 } from '../messages/mesh-frames.js';
-import type { CompletionPolicy, PlacedGate, Placement } from '../placement/completion-policy.js';
-import type { GateView, TargetBook } from '../placement/target-book.js';
+import type {
+  PlacementPolicy,
+  GateChoice,
+  PlacementContext,
+} from '../placement/placement-policy.js';
+import type { GateView, GateTable } from '../placement/gate-table.js';
 import { EntryEventName, RefusalCause, UnknownCause } from './entry-contract.js';
 import type { EntryEvent, EntryOutcome, EntryPort, EntryRequest } from './entry-contract.js';
 import { isHedgeDue } from './hedge-rule.js';
 import { RequestState } from './request-state.js';
 import type { Attempt } from './request-state.js';
 import { RouteSizes } from './route-sizes.js';
-import { TimeLimits } from './time-limits.js';
+import { CallerTimeLimits } from './caller-time-limits.js';
 
-/** Gates that may decline before the best of them has to take the request. */
-const maximumOptionalTries = 2;
-/** Time that a request waits at a gate that is busy or in a slow moment, for a first estimate. */
-const busyMilliseconds = 80;
-/** Gates that may decline for good before the request is refused. */
+/** Number of attempts in which the gate may decline as busy; after them, the best gate must accept the request. */
+const maximumOptionalAttempts = 2;
+/** Estimated additional delay at a gate that turns out to be busy or slowed down. */
+const estimatedBusyDelayMilliseconds = 80;
+/**
+ * Number of gates that may finally decline, or be unreachable, before the request is refused. No retry is made once
+ * more gates than this have declined.
+ */
 const maximumDeclines = 4;
-/** A request with less time left is not sent again. */
-const shortestUsefulMilliseconds = 15;
-/** Time after which an idempotent request goes elsewhere when the connection to its gate was lost. */
-const lostConnectionMilliseconds = 100;
-const shortestRetryAfterMilliseconds = 50;
-const longestRetryAfterMilliseconds = 1_000;
+/** A request with less time left before its deadline is not sent to another gate. */
+const minimumRemainingMilliseconds = 15;
+/** Time after which an idempotent request whose gate is disconnected is also sent to another gate. */
+const lostConnectionTimeoutMilliseconds = 100;
+const minimumRetryAfterMilliseconds = 50;
+const maximumRetryAfterMilliseconds = 1_000;
 
 export interface RequestForwarderOptions {
   readonly port: EntryPort;
-  readonly targets: TargetBook;
-  readonly policy: CompletionPolicy;
-  readonly budget: RepeatBudget;
+  readonly gates: GateTable;
+  readonly placementPolicy: PlacementPolicy;
+  readonly retryBudget: RepeatBudget;
   readonly random: RandomSource;
   readonly callerService: string;
   readonly log: (event: EntryEvent) => void;
 }
 
 /**
- * Brings each request to a gate and its answer back to the caller. A request that a gate declined has
- * not run and may go to another; one that may have run goes to a second server only if it is
- * idempotent and within the budget.
+ * Forwards each request to a gate and returns the answer to the caller. A request that a gate declined has
+ * not run and may be sent to another gate. A request that may have run is sent to a second server only if
+ * it is idempotent and the retry budget permits it.
  */
 export class RequestForwarder {
   private readonly requests = new Map<number, RequestState>();
   private readonly attempts = new Map<number, Attempt>();
   private readonly deadlines = new MinimumHeap<RequestState>();
-  private readonly sizes = new RouteSizes();
-  private readonly limits = new TimeLimits();
+  private readonly routeSizes = new RouteSizes();
+  private readonly callerTimeLimits = new CallerTimeLimits();
   private nextCallId = 1;
   private configurationVersion = 0;
 
   public constructor(private readonly options: RequestForwarderOptions) {}
 
-  public get inProgress(): number {
+  public get inProgressCount(): number {
     return this.requests.size;
   }
 
-  public begin(request: EntryRequest, service: string, nested: boolean, now: number): void {
+  public forward(request: EntryRequest, service: string, isNested: boolean, now: number): void {
     assertInvariant(!this.requests.has(request.requestNumber), 'request numbers are unique');
     const timeoutAt = request.receivedAt + request.route.timeoutMilliseconds;
     const deadline = Math.min(request.callerDeadline, timeoutAt);
@@ -72,44 +79,44 @@
       request,
       service,
       deadline,
-      nested,
+      isNested,
       this.configurationVersion,
-      nested ? 0 : this.spentBefore(request),
+      isNested ? 0 : this.estimateSpentBefore(request),
     );
     this.requests.set(request.requestNumber, state);
     this.deadlines.push(deadline, state);
-    // The bound on repeats is relative to the requests of callers, so calls of servers earn none.
-    if (!nested) this.options.budget.request(service, now);
-    this.tryNext(state, now);
+    // The retry budget is relative to the requests of callers, so nested calls of servers do not add to it.
+    if (!isNested) this.options.retryBudget.request(service, now);
+    this.tryNextGate(state, now);
   }
 
-  /** Another configuration is in force; routes that it does not declare are forgotten. */
-  public configured(routeNames: ReadonlySet<string>, version: number): void {
+  /** Handles a change of the configuration in force, and removes the state of routes that it does not declare. */
+  public onConfigurationChange(routeNames: ReadonlySet<string>, version: number): void {
     this.configurationVersion = version;
-    this.sizes.retain(routeNames);
-    this.limits.retain(routeNames);
+    this.routeSizes.retain(routeNames);
+    this.callerTimeLimits.retain(routeNames);
   }
 
-  /** A gate answers. */
-  public reply(node: string, frame: ReplyFrame, now: number): void {
-    this.options.targets.reported(node, frame.load, now);
+  /** Handles the reply of a gate to an attempt. */
+  public onReply(nodeName: string, frame: ReplyFrame, now: number): void {
+    this.options.gates.onLoadReported(nodeName, frame.load, now);
     const attempt = this.attempts.get(frame.callId);
-    if (attempt?.node !== node) return;
+    if (attempt?.nodeName !== nodeName) return;
     this.endAttempt(attempt);
     switch (frame.kind) {
       case 'answered':
-        this.answered(attempt, frame, now);
+        this.onAnswered(attempt, frame, now);
         return;
       case 'declined':
-        this.declined(attempt, frame, now);
+        this.onDeclined(attempt, frame, now);
         return;
       case 'failed':
-        this.failed(attempt, frame, now);
+        this.onFailed(attempt, frame, now);
     }
   }
 
-  /** The caller went away. */
-  public abandon(requestNumber: number, now: number): void {
+  /** Cancels the attempts of a request whose caller has closed its connection. */
+  public onCallerDisconnected(requestNumber: number, now: number): void {
     const state = this.requests.get(requestNumber);
     if (state === undefined) return;
     this.log(EntryEventName.RequestAbandoned, state, {
@@ -119,242 +126,258 @@
     this.remove(state);
   }
 
-  /** The connection to a node was lost; what was sent on it may or may not have arrived. */
-  public connectionLost(node: string, now: number): void {
+  /** Marks the attempts at a node whose connection was lost; their frames may or may not have arrived. */
+  public onConnectionLost(nodeName: string, now: number): void {
     for (const attempt of this.attempts.values()) {
-      if (attempt.node === node) attempt.lostAt ??= now;
+      if (attempt.nodeName === nodeName) attempt.connectionLostAt ??= now;
     }
   }
 
   /**
-   * A node is connected again. The same life of its process gets the frames once more and recognizes
-   * those that it has; an earlier life took its requests with it.
+   * Handles a restored connection to a node. The same incarnation of its process is sent the start frames
+   * again and recognizes those that it already has. Requests of an earlier incarnation ended with it.
    */
-  public connectionRestored(node: string, boot: number, now: number): void {
+  public onConnectionRestored(nodeName: string, boot: number, now: number): void {
     for (const attempt of [...this.attempts.values()]) {
-      if (attempt.node !== node) continue;
+      if (attempt.nodeName !== nodeName) continue;
       if (attempt.boot === boot) {
-        attempt.lostAt = undefined;
-        this.options.port.send(node, this.startFrame(attempt, now));
-      } else this.gateEnded(attempt, now);
+        attempt.connectionLostAt = undefined;
+        this.options.port.send(nodeName, this.createStartFrame(attempt, now));
+      } else this.onGateEnded(attempt, now);
     }
   }
 
-  /** The process of a node has ended. */
-  public nodeEnded(node: string, now: number): void {
+  /** Ends the attempts at a node whose process has ended. */
+  public onNodeEnded(nodeName: string, now: number): void {
     for (const attempt of [...this.attempts.values()]) {
-      if (attempt.node === node) this.gateEnded(attempt, now);
+      if (attempt.nodeName === nodeName) this.onGateEnded(attempt, now);
     }
   }
 
-  /** When the next request has to be answered at the latest; Infinity without one. */
+  /** The earliest deadline of the requests in progress; Infinity if there is none. */
   public get nextDeadline(): number {
     return this.deadlines.peekTime() ?? Infinity;
   }
 
   public tick(now: number): void {
     for (;;) {
-      const due = this.deadlines.popDue(now);
-      if (due === undefined) break;
-      if (!due.isConcluded) this.expire(due, now);
+      const dueRequest = this.deadlines.popDue(now);
+      if (dueRequest === undefined) break;
+      if (!dueRequest.isConcluded) this.expire(dueRequest, now);
     }
     for (const attempt of [...this.attempts.values()]) {
       if (!attempt.state.request.route.idempotent || attempt.state.attempts.size > 1) continue;
-      if (this.isOverdue(attempt, now)) this.repeat(attempt.state, 'hedge', now);
+      if (this.isOverdue(attempt, now)) this.retry(attempt.state, 'hedge', now);
     }
   }
 
   private isOverdue(attempt: Attempt, now: number): boolean {
-    if (attempt.lostAt !== undefined) return now - attempt.lostAt > lostConnectionMilliseconds;
-    const view = this.options.targets.get(attempt.node);
+    if (attempt.connectionLostAt !== undefined)
+      return now - attempt.connectionLostAt > lostConnectionTimeoutMilliseconds;
+    const view = this.options.gates.get(attempt.nodeName);
     if (view === undefined) return false;
-    const targetIn = attempt.state.targetAt - now;
-    return isHedgeDue(view, now - attempt.sentAt, targetIn, now);
+    const millisecondsToTarget = attempt.state.targetDeadline - now;
+    return isHedgeDue(view, now - attempt.sentAt, millisecondsToTarget, now);
   }
 
-  private answered(attempt: Attempt, frame: AnsweredFrame, now: number): void {
+  private onAnswered(attempt: Attempt, frame: AnsweredFrame, now: number): void {
     const { state } = attempt;
     const { body, headers, status } = frame;
-    const bytes = body.length + (state.request.body?.length ?? 0);
-    this.sizes.add(state.request.route.name, bytes);
+    const transferredBytes = body.length + (state.request.body?.length ?? 0);
+    this.routeSizes.addSample(state.request.route.name, transferredBytes);
     const isServerError = status >= 500;
     if (isServerError && state.request.route.idempotent) {
-      if (state.attempts.size > 0 || this.repeat(state, 'server-error', now)) return;
+      if (state.attempts.size > 0 || this.retry(state, 'server-error', now)) return;
     }
-    this.conclude(state, { body, headers, kind: 'answered', status }, attempt.node, now);
+    this.conclude(state, { body, headers, kind: 'answered', status }, attempt.nodeName, now);
   }
 
-  private declined(attempt: Attempt, frame: DeclinedFrame, now: number): void {
+  private onDeclined(attempt: Attempt, frame: DeclinedFrame, now: number): void {
     const { state } = attempt;
-    const hasReachedServer = frame.reason === DeclineReason.ServerRefused;
-    state.used.delete(attempt.node);
-    state.reachedServer ||= hasReachedServer;
-    if (attempt.repeat && !hasReachedServer) this.options.budget.refund(state.service, now);
-    state.decline(attempt.node, frame);
+    const isServerRefusal = frame.reason === DeclineReason.ServerRefused;
+    state.usedNodes.delete(attempt.nodeName);
+    state.hasServerRefusal ||= isServerRefusal;
+    if (attempt.isRetry && !isServerRefusal) this.options.retryBudget.refund(state.service, now);
+    state.recordDecline(attempt.nodeName, frame);
     this.log(EntryEventName.RequestMoved, state, {
       expected: Math.round(frame.expectedMilliseconds),
-      gate: attempt.node,
+      gate: attempt.nodeName,
       reason: frame.reason,
-      ...occupancyOf(frame.load),
+      ...occupancyFields(frame.load),
     });
     if (state.attempts.size > 0) return;
-    if (state.used.size > 0) {
-      // An earlier attempt may have run, so a refusal would not be true.
-      if (!this.repeat(state, 'declined', now)) this.giveUp(state, now);
-    } else if (state.reachedServer) {
-      // The next server gets a second arrival of the request, which the budget has to cover.
-      if (!this.repeat(state, 'server-refused', now)) this.refuse(state, now);
-    } else this.tryNext(state, now);
+    if (state.usedNodes.size > 0) {
+      // An earlier attempt may have run, so the request must not be reported as refused.
+      if (!this.retry(state, 'declined', now)) this.giveUp(state, now);
+    } else if (state.hasServerRefusal) {
+      // The request would arrive at a second server, which counts against the retry budget.
+      if (!this.retry(state, 'server-refused', now)) this.refuse(state, now);
+    } else this.tryNextGate(state, now);
   }
 
-  private failed(attempt: Attempt, frame: FailedFrame, now: number): void {
+  private onFailed(attempt: Attempt, frame: FailedFrame, now: number): void {
     const { state } = attempt;
-    this.log(EntryEventName.AttemptFailed, state, { detail: frame.detail, gate: attempt.node });
-    this.mayHaveRun(state, now);
+    this.log(EntryEventName.AttemptFailed, state, { detail: frame.detail, gate: attempt.nodeName });
+    this.retryOrGiveUp(state, now);
   }
 
-  private gateEnded(attempt: Attempt, now: number): void {
+  private onGateEnded(attempt: Attempt, now: number): void {
     this.endAttempt(attempt);
     this.log(EntryEventName.AttemptFailed, attempt.state, {
-      detail: 'the gate ended',
-      gate: attempt.node,
+      detail: "the gate's process ended",
+      gate: attempt.nodeName,
     });
-    this.mayHaveRun(attempt.state, now);
+    this.retryOrGiveUp(attempt.state, now);
   }
 
-  private mayHaveRun(state: RequestState, now: number): void {
+  private retryOrGiveUp(state: RequestState, now: number): void {
     if (state.attempts.size > 0) return;
-    if (state.request.route.idempotent && this.repeat(state, 'failed', now)) return;
+    if (state.request.route.idempotent && this.retry(state, 'failed', now)) return;
     this.giveUp(state, now);
   }
 
-  /** Sends a request to a second server; false if that is not possible. */
-  private repeat(state: RequestState, cause: string, now: number): boolean {
-    const { budget } = this.options;
-    const denied = this.repeatDenial(state, now);
-    const placed = denied === undefined ? this.place(state, now) : undefined;
-    if (placed === undefined) return this.denyRepeat(state, cause, denied ?? 'no-gate');
-    if (!budget.take(state.service, now)) return this.denyRepeat(state, cause, 'budget');
-    const gate = placed.view.node.name;
+  /** Sends a request to a second server, as a retry or a hedge. Returns false if that is not possible. */
+  private retry(state: RequestState, cause: string, now: number): boolean {
+    const { retryBudget } = this.options;
+    const denial = this.findRetryDenial(state, now);
+    const choice = denial === undefined ? this.chooseGate(state, now) : undefined;
+    if (choice === undefined) return this.denyRetry(state, cause, denial ?? 'no-gate');
+    if (!retryBudget.take(state.service, now)) return this.denyRetry(state, cause, 'budget');
+    const gate = choice.view.node.name;
     this.log(EntryEventName.RequestRepeated, state, { gate, reason: cause });
     const isHedge = state.attempts.size > 0;
-    if (this.dispatch(state, placed.view, isHedge, true, now)) return true;
-    budget.refund(state.service, now);
-    return this.denyRepeat(state, cause, 'not-connected');
+    if (this.dispatch(state, choice.view, isHedge, true, now)) return true;
+    retryBudget.refund(state.service, now);
+    return this.denyRetry(state, cause, 'not-connected');
   }
 
-  private repeatDenial(state: RequestState, now: number): string | undefined {
-    if (state.used.size >= state.request.route.maximumAttempts) return 'attempts';
-    if (state.deadline - now < shortestUsefulMilliseconds) return 'deadline';
-    return state.declined.size > maximumDeclines ? 'declines' : undefined;
+  private findRetryDenial(state: RequestState, now: number): string | undefined {
+    if (state.usedNodes.size >= state.request.route.maximumAttempts) return 'attempts';
+    if (state.deadline - now < minimumRemainingMilliseconds) return 'deadline';
+    return state.expectedMillisecondsByDecliningNode.size > maximumDeclines
+      ? 'declines'
+      : undefined;
   }
 
-  /** A hedge is tried at each tick, so its denial is told once. */
-  private denyRepeat(state: RequestState, cause: string, reason: string): false {
-    if (state.lastDenial === reason) return false;
-    state.lastDenial = reason;
+  /** Logs why there is no retry. Hedging is tried at each tick, so the same reason is logged only once in a row. */
+  private denyRetry(state: RequestState, cause: string, reason: string): false {
+    if (state.lastRetryDenial === reason) return false;
+    state.lastRetryDenial = reason;
     this.log(EntryEventName.RequestNotRepeated, state, { cause, reason });
     return false;
   }
 
   /**
-   * Asks the gate that costs least. While another gate would cost less than this one if it turned out
-   * to be busy, it may decline, since it knows its load better than this node does; after that the
-   * best of them is told to take the request.
+   * Sends the request to the gate with the lowest expected cost. The gate may decline as busy, because it
+   * knows its own load better than this node does, as long as another gate would then cost less. After
+   * `maximumOptionalAttempts` such attempts, the cheapest gate must accept the request.
    */
-  private tryNext(state: RequestState, now: number): void {
-    while (state.hardDeclines < maximumDeclines) {
-      if (state.deadline - now < shortestUsefulMilliseconds) break;
-      const placed = this.place(state, now);
-      const busy = this.leastBusy(state, now);
-      if (placed !== undefined && placed.cost < (busy?.cost ?? Infinity)) {
-        const alternative = Math.min(placed.nextCost, busy?.cost ?? Infinity);
-        const mayDecline = state.optionalTries < maximumOptionalTries;
-        const isOptional = mayDecline && alternative < this.costIfBusy(placed.view, state, now);
-        if (this.dispatch(state, placed.view, isOptional, false, now)) return;
-        state.unreachable(placed.view.node.name);
+  private tryNextGate(state: RequestState, now: number): void {
+    while (state.finalDeclineCount < maximumDeclines) {
+      if (state.deadline - now < minimumRemainingMilliseconds) break;
+      const choice = this.chooseGate(state, now);
+      const busy = this.cheapestBusyGate(state, now);
+      if (choice !== undefined && choice.cost < (busy?.cost ?? Infinity)) {
+        const alternativeCost = Math.min(choice.nextBestCost, busy?.cost ?? Infinity);
+        const hasOptionalAttemptsLeft = state.optionalAttemptCount < maximumOptionalAttempts;
+        const isOptional =
+          hasOptionalAttemptsLeft && alternativeCost < this.costIfBusy(choice.view, state, now);
+        if (this.dispatch(state, choice.view, isOptional, false, now)) return;
+        state.recordUnreachable(choice.view.node.name);
         continue;
       }
       if (busy === undefined) break;
       const { name } = busy.view.node;
-      state.declined.delete(name);
+      state.expectedMillisecondsByDecliningNode.delete(name);
       if (busy.view.isConnected && this.dispatch(state, busy.view, false, false, now)) return;
-      state.unreachable(name);
+      state.recordUnreachable(name);
     }
     this.refuse(state, now);
   }
 
-  /** The gate that declined as busy and costs least all the same. */
-  private leastBusy(
+  /** The cheapest of the gates that declined as busy. */
+  private cheapestBusyGate(
     state: RequestState,
     now: number,
-  ): Pick<PlacedGate, 'cost' | 'view'> | undefined {
-    let least: Pick<PlacedGate, 'cost' | 'view'> | undefined;
-    for (const [name, expected] of state.declined) {
-      const view = this.options.targets.get(name);
-      if (view === undefined || expected === Infinity) continue;
-      const cost = this.options.policy.cost(view, expected, this.placementOf(state, now));
-      if (cost < (least?.cost ?? Infinity)) least = { cost, view };
+  ): Pick<GateChoice, 'cost' | 'view'> | undefined {
+    let cheapest: Pick<GateChoice, 'cost' | 'view'> | undefined;
+    for (const [nodeName, expectedMilliseconds] of state.expectedMillisecondsByDecliningNode) {
+      const view = this.options.gates.get(nodeName);
+      if (view === undefined || expectedMilliseconds === Infinity) continue;
+      const cost = this.options.placementPolicy.costOf(
+        view,
+        expectedMilliseconds,
+        this.placementContextOf(state, now),
+      );
+      if (cost < (cheapest?.cost ?? Infinity)) cheapest = { cost, view };
     }
-    return least;
+    return cheapest;
   }
 
+  /** Expected cost of a gate that turns out to be busy. */
   private costIfBusy(view: GateView, state: RequestState, now: number): number {
-    const expected = view.load.serviceMilliseconds + busyMilliseconds;
-    return this.options.policy.cost(view, expected, this.placementOf(state, now));
+    const expectedMilliseconds = view.load.serviceMilliseconds + estimatedBusyDelayMilliseconds;
+    return this.options.placementPolicy.costOf(
+      view,
+      expectedMilliseconds,
+      this.placementContextOf(state, now),
+    );
   }
 
-  private place(state: RequestState, now: number): PlacedGate | undefined {
-    const { policy, targets } = this.options;
-    return policy.choose(targets.ready(state.service), this.placementOf(state, now));
+  private chooseGate(state: RequestState, now: number): GateChoice | undefined {
+    const { placementPolicy, gates } = this.options;
+    return placementPolicy.choose(
+      gates.readyGates(state.service),
+      this.placementContextOf(state, now),
+    );
   }
 
-  private placementOf(state: RequestState, now: number): Placement {
+  private placementContextOf(state: RequestState, now: number): PlacementContext {
     return {
-      excluded: state.excluded,
-      kilobytes: this.sizes.kilobytes(state.request.route.name),
+      excludedNodes: state.excludedNodes,
+      kilobytes: this.routeSizes.meanKilobytes(state.request.route.name),
       now,
-      targetMilliseconds: state.targetAt - now,
+      targetMilliseconds: state.targetDeadline - now,
     };
   }
 
   private dispatch(
     state: RequestState,
     view: GateView,
-    optional: boolean,
-    repeat: boolean,
+    isOptional: boolean,
+    isRetry: boolean,
     now: number,
   ): boolean {
     const { node } = view;
     const attempt: Attempt = {
       boot: node.boot,
       callId: this.nextCallId,
-      lostAt: undefined,
-      node: node.name,
-      optional,
-      repeat,
+      connectionLostAt: undefined,
+      nodeName: node.name,
+      isOptional,
+      isRetry,
       sentAt: now,
       state,
     };
     this.nextCallId += 1;
-    if (optional) state.optionalTries += 1;
+    if (isOptional) state.optionalAttemptCount += 1;
     state.attempts.set(attempt.callId, attempt);
-    state.used.add(node.name);
+    state.usedNodes.add(node.name);
     this.attempts.set(attempt.callId, attempt);
-    this.options.targets.sent(node.name);
-    const isSent = this.options.port.send(node.name, this.startFrame(attempt, now));
-    this.logPlaced(state, view, optional, isSent, now);
+    this.options.gates.onRequestSent(node.name);
+    const isSent = this.options.port.send(node.name, this.createStartFrame(attempt, now));
+    this.logPlacement(state, view, isOptional, isSent, now);
     if (isSent) return true;
     this.endAttempt(attempt);
-    state.used.delete(node.name);
+    state.usedNodes.delete(node.name);
     return false;
   }
 
-  /** What this node knew of a gate when it asked it. */
-  private logPlaced(
+  /** Logs the load that this node knew of a gate when it sent the request. */
+  private logPlacement(
     state: RequestState,
-    { load, loadAt, node }: GateView,
-    optional: boolean,
+    { load, loadReceivedAt, node }: GateView,
+    isOptional: boolean,
     isSent: boolean,
     now: number,
   ): void {
@@ -362,8 +385,8 @@
       at: Math.round(now - state.request.receivedAt),
       failures: Math.round(load.failureShare * 100) / 100,
       gate: node.name,
-      loadAge: Math.round(now - loadAt),
-      optional,
+      loadAge: Math.round(now - loadReceivedAt),
+      optional: isOptional,
       running: load.running,
       sent: isSent,
       slowdown: load.slowdown,
@@ -372,8 +395,8 @@
     });
   }
 
-  private startFrame(attempt: Attempt, now: number): StartFrame {
-    const { callId, optional, repeat, state } = attempt;
+  private createStartFrame(attempt: Attempt, now: number): StartFrame {
+    const { callId, isOptional: optional, isRetry: repeat, state } = attempt;
     const { body, headers, method, path, requestId, route } = state.request;
     return {
       body,
@@ -383,7 +406,7 @@
       idempotent: route.idempotent,
       kind: 'start',
       method,
-      nested: state.nested,
+      nested: state.isNested,
       optional,
       path,
       priority: route.priority,
@@ -392,53 +415,60 @@
       requestId,
       routeName: route.name,
       service: state.service,
-      targetMilliseconds: state.targetAt - now,
+      targetMilliseconds: state.targetDeadline - now,
     };
   }
 
-  private spentBefore({ callerDeadline, receivedAt, route }: EntryRequest): number {
-    const given = callerDeadline - receivedAt;
-    return Number.isFinite(given) ? this.limits.spentBefore(route.name, given) : 0;
+  /** Estimated time that the caller has already spent on earlier attempts at this request. */
+  private estimateSpentBefore({ callerDeadline, receivedAt, route }: EntryRequest): number {
+    const givenMilliseconds = callerDeadline - receivedAt;
+    return Number.isFinite(givenMilliseconds)
+      ? this.callerTimeLimits.estimateSpentBefore(route.name, givenMilliseconds)
+      : 0;
   }
 
+  /** Concludes a request whose deadline has passed. */
   private expire(state: RequestState, now: number): void {
-    if (state.used.size === 0) this.refuse(state, now);
+    if (state.usedNodes.size === 0) this.refuse(state, now);
     else this.conclude(state, { cause: UnknownCause.Timeout, kind: 'unknown' }, undefined, now);
   }
 
+  /** Concludes a request that may have run and cannot be retried. */
   private giveUp(state: RequestState, now: number): void {
     this.conclude(state, { cause: UnknownCause.AttemptFailed, kind: 'unknown' }, undefined, now);
   }
 
   private refuse(state: RequestState, now: number): void {
-    const cause = causeOf(state, now);
-    // The random part spreads the return of callers that were refused together.
-    const wait = Math.min(
-      longestRetryAfterMilliseconds,
-      Math.max(shortestRetryAfterMilliseconds, state.shortestWait / 2),
+    const cause = refusalCauseOf(state, now);
+    // The random part spreads out the retries of callers that were refused at the same time.
+    const baseMilliseconds = Math.min(
+      maximumRetryAfterMilliseconds,
+      Math.max(minimumRetryAfterMilliseconds, state.shortestExpectedMilliseconds / 2),
     );
-    const retryAfterMilliseconds = wait * (1 + this.options.random.next());
+    const retryAfterMilliseconds = baseMilliseconds * (1 + this.options.random.next());
     this.conclude(state, { cause, kind: 'refused', retryAfterMilliseconds }, undefined, now);
   }
 
   private conclude(
     state: RequestState,
     outcome: EntryOutcome,
-    node: string | undefined,
+    nodeName: string | undefined,
     now: number,
   ): void {
     const { receivedAt, route } = state.request;
     this.log(EntryEventName.RequestConcluded, state, {
       configuration: state.configurationVersion,
-      declined: state.hardDeclines + state.optionalTries,
-      gate: node ?? 'none',
-      late: now > state.targetAt,
+      declined: state.finalDeclineCount + state.optionalAttemptCount,
+      gate: nodeName ?? 'none',
+      late: now > state.targetDeadline,
       milliseconds: Math.round(now - receivedAt),
-      nested: state.nested,
+      nested: state.isNested,
       outcome: outcome.kind,
       route: route.name,
       service: state.service,
-      ...(state.spentBefore > 0 && { spentBefore: Math.round(state.spentBefore) }),
+      ...(state.spentBeforeMilliseconds > 0 && {
+        spentBefore: Math.round(state.spentBeforeMilliseconds),
+      }),
       ...(outcome.kind === 'answered' ? { status: outcome.status } : { cause: outcome.cause }),
       ...(outcome.kind !== 'answered' && lastDeclineFields(state)),
     });
@@ -450,7 +480,7 @@
     state.isConcluded = true;
     for (const attempt of [...state.attempts.values()]) {
       this.endAttempt(attempt);
-      this.options.port.send(attempt.node, { callId: attempt.callId, kind: 'cancel' });
+      this.options.port.send(attempt.nodeName, { callId: attempt.callId, kind: 'cancel' });
     }
     this.requests.delete(state.request.requestNumber);
   }
@@ -465,19 +495,19 @@
   }
 }
 
-/** How full a gate is, for the log. */
-function occupancyOf({ limit, running, waiting }: GateLoad): EntryEvent['fields'] {
+/** Log fields for the occupancy of a gate. */
+function occupancyFields({ limit, running, waiting }: GateLoad): EntryEvent['fields'] {
   return { limit, running, waiting };
 }
 
-/** What the last gate that declined said; under load it is the only line of the request. */
+/** Log fields for the last decline. Under load, the final event may be the only one logged for a request. */
 function lastDeclineFields({ lastDecline }: RequestState): EntryEvent['fields'] {
   if (lastDecline === undefined) return {};
   const { frame, node } = lastDecline;
-  return { lastDecline: frame.reason, lastGate: node, ...occupancyOf(frame.load) };
+  return { lastDecline: frame.reason, lastGate: node, ...occupancyFields(frame.load) };
 }
 
-function causeOf(state: RequestState, now: number): RefusalCause {
-  if (state.deadline - now < shortestUsefulMilliseconds) return RefusalCause.DeadlineTooShort;
+function refusalCauseOf(state: RequestState, now: number): RefusalCause {
+  if (state.deadline - now < minimumRemainingMilliseconds) return RefusalCause.DeadlineTooShort;
   return state.isOverloaded ? RefusalCause.Overloaded : RefusalCause.NoServer;
 }
--- a/packages/mesh-core/src/entry/request-state.ts
+++ b/packages/mesh-core/src/entry/request-state.ts
@@ -2,85 +2,95 @@
 import type { DeclinedFrame } from '../messages/mesh-frames.js';
 import type { EntryRequest } from './entry-contract.js';
 
+/** Reasons to decline that show that the service has servers, but not enough capacity. */
 const overloadReasons: ReadonlySet<string> = new Set([
   DeclineReason.DeadlineTooShort,
   DeclineReason.QueueFull,
   DeclineReason.ServerRefused,
 ]);
 
-/** One gate that was asked to run a request. */
+/** An attempt to have one gate run a request. */
 export interface Attempt {
   readonly callId: number;
   readonly state: RequestState;
-  readonly node: string;
-  /** The life of the gate's process that was asked. */
+  readonly nodeName: string;
+  /** Incarnation of the gate's process that received the request. */
   readonly boot: number;
   readonly sentAt: number;
-  readonly optional: boolean;
-  readonly repeat: boolean;
-  /** Since when the connection to the gate is down; undefined while it is up. */
-  lostAt: number | undefined;
+  /** Whether the gate may decline because another gate may be sooner. */
+  readonly isOptional: boolean;
+  /** Whether the request had been sent to a server before; true for a hedge as well. */
+  readonly isRetry: boolean;
+  /** Monotonic time at which the connection to the gate was lost; undefined while it is connected. */
+  connectionLostAt: number | undefined;
 }
 
-/** A request that is in progress at its entry. */
+/** State of a request that is in progress at its entry. */
 export class RequestState {
   public readonly attempts = new Map<number, Attempt>();
-  /** Gates that declined, with the time that each expects until an answer. */
-  public readonly declined = new Map<string, number>();
-  /** Gates that would not take the request in any case. */
-  public hardDeclines = 0;
-  /** Shortest time until an answer that a gate told; infinite if none did. */
-  public shortestWait = Infinity;
-  /** Gates whose server may have run the request. */
-  public readonly used = new Set<string>();
-  /** A gate had a server, but no room or time for the request. */
+  /** Gates that declined, with the time each expects until an answer; infinite if it declined for good. */
+  public readonly expectedMillisecondsByDecliningNode = new Map<string, number>();
+  /** Number of gates that are unreachable or declined for a reason other than being busy. */
+  public finalDeclineCount = 0;
+  /** Shortest expected time until an answer that a gate has reported; infinite if none has. */
+  public shortestExpectedMilliseconds = Infinity;
+  /** Nodes of the gates whose server may have run the request. */
+  public readonly usedNodes = new Set<string>();
+  /** Whether a gate declined because its server lacks the capacity or time for the request. */
   public isOverloaded = false;
-  /** The last gate that declined, and what it said. */
+  /** The most recent decline, and the node that sent it. */
   public lastDecline: { readonly node: string; readonly frame: DeclinedFrame } | undefined;
-  public optionalTries = 0;
-  /** A server said that it did not run the request. */
-  public reachedServer = false;
+  /** Number of attempts in which the gate was allowed to decline as busy. */
+  public optionalAttemptCount = 0;
+  /** Whether a server received the request and reported that it did not run it. */
+  public hasServerRefusal = false;
   public isConcluded = false;
-  /** Why the last repeat was not made. */
-  public lastDenial: string | undefined;
-  /** Monotonic time until which an answer has its full value. */
-  public readonly targetAt: number;
+  /** Why the last retry was denied. */
+  public lastRetryDenial: string | undefined;
+  /** Monotonic time at which the target latency has passed; a later answer is worth less to the caller. */
+  public readonly targetDeadline: number;
 
   public constructor(
     public readonly request: EntryRequest,
     public readonly service: string,
-    /** Monotonic time by which the caller gets its answer. */
+    /** Monotonic time by which the caller must have an answer or an error. */
     public readonly deadline: number,
-    public readonly nested: boolean,
-    /** Version of the configuration whose route it has. */
+    public readonly isNested: boolean,
+    /** Version of the configuration that declares the request's route. */
     public readonly configurationVersion: number,
-    /** Time that the caller waited before it sent this request, for earlier ones that were not served. */
-    public readonly spentBefore: number,
+    /** Estimated time that the caller has already spent on earlier, refused attempts at the same request. */
+    public readonly spentBeforeMilliseconds: number,
   ) {
     const { receivedAt, route } = request;
-    this.targetAt = receivedAt + route.targetLatencyMilliseconds - spentBefore;
+    this.targetDeadline = receivedAt + route.targetLatencyMilliseconds - spentBeforeMilliseconds;
   }
 
-  /** Gates that are not asked again unless there is no other. */
-  public get excluded(): ReadonlySet<string> {
-    return new Set([...this.declined.keys(), ...this.used]);
+  /** Gates that have declined or may have run the request; they are used again only if no other gate is left. */
+  public get excludedNodes(): ReadonlySet<string> {
+    return new Set([...this.expectedMillisecondsByDecliningNode.keys(), ...this.usedNodes]);
   }
 
-  public decline(node: string, frame: DeclinedFrame): void {
+  public recordDecline(nodeName: string, frame: DeclinedFrame): void {
     const { expectedMilliseconds, reason } = frame;
-    this.lastDecline = { frame, node };
+    this.lastDecline = { frame, node: nodeName };
     const isBusy = reason === DeclineReason.Busy;
     if (isBusy || reason === DeclineReason.QueueFull) {
-      this.shortestWait = Math.min(this.shortestWait, expectedMilliseconds);
+      this.shortestExpectedMilliseconds = Math.min(
+        this.shortestExpectedMilliseconds,
+        expectedMilliseconds,
+      );
     }
     this.isOverloaded ||= isBusy || overloadReasons.has(reason);
-    if (!isBusy) this.hardDeclines += 1;
-    this.declined.set(node, isBusy ? expectedMilliseconds : Infinity);
+    if (!isBusy) this.finalDeclineCount += 1;
+    this.expectedMillisecondsByDecliningNode.set(
+      nodeName,
+      isBusy ? expectedMilliseconds : Infinity,
+    );
   }
 
-  /** There is no connection to the gate. */
-  public unreachable(node: string): void {
-    this.hardDeclines += 1;
-    this.declined.set(node, Infinity);
+  /** Records that there is no connection to the gate. */
+  public recordUnreachable(nodeName: string): void {
+    this.finalDeclineCount += 1;
+    this.expectedMillisecondsByDecliningNode.set(nodeName, Infinity);
   }
 }
--- a/packages/mesh-core/src/entry/route-sizes.ts
+++ b/packages/mesh-core/src/entry/route-sizes.ts
@@ -3,24 +3,24 @@
 
 const sampleWeight = 0.05;
 const bytesPerKilobyte = 1_000;
-/** Assumed for a route that has had no answer yet. */
+/** Assumed until a request of the route has been answered. */
 const initialKilobytes = 2;
 
-/** Mean size of a request with its answer, by route. */
+/** Mean size of a request body plus its response body, by route. */
 export class RouteSizes {
-  private readonly byRoute = new RouteMap<DecayingMean>();
+  private readonly meanKilobytesByRoute = new RouteMap<DecayingMean>();
 
-  public kilobytes(routeName: string): number {
-    return this.byRoute.get(routeName)?.value ?? initialKilobytes;
+  public meanKilobytes(routeName: string): number {
+    return this.meanKilobytesByRoute.get(routeName)?.value ?? initialKilobytes;
   }
 
-  public add(routeName: string, bytes: number): void {
-    const first = (): DecayingMean => new DecayingMean(initialKilobytes, sampleWeight);
-    this.byRoute.getOrCreate(routeName, first).add(bytes / bytesPerKilobyte);
+  public addSample(routeName: string, bytes: number): void {
+    const createMean = (): DecayingMean => new DecayingMean(initialKilobytes, sampleWeight);
+    this.meanKilobytesByRoute.getOrCreate(routeName, createMean).add(bytes / bytesPerKilobyte);
   }
 
-  /** Forgets routes that are no longer declared. */
+  /** Removes the routes that the configuration no longer declares. */
   public retain(routeNames: ReadonlySet<string>): void {
-    this.byRoute.retain(routeNames);
+    this.meanKilobytesByRoute.retain(routeNames);
   }
 }
--- a/packages/mesh-core/src/index.ts
+++ b/packages/mesh-core/src/index.ts
@@ -23,7 +23,7 @@
 export { ReportEffect, ServerLifetime } from './gate/server-lifetime.js';
 export { EndedServers } from './membership/ended-servers.js';
 export { NodeDirectory } from './membership/node-directory.js';
-export { completeFleetNodes, PeerSelection } from './membership/peer-selection.js';
+export { maximumFullMeshNodes, PeerSelection } from './membership/peer-selection.js';
 export { zoneRank } from './membership/zone-rank.js';
 export { DeclineReason, ServerState } from './messages/mesh-frames.js';
 export type {
@@ -41,17 +41,21 @@
   MembersFrame,
   MeshFrame,
   MeshNode,
-  NodeServer,
+  EndedNodeServer,
   ReplyFrame,
   RequestFrame,
   StartFrame,
 } from './messages/mesh-frames.js';
 export { isSameZone } from './shared/same-zone.js';
 export type { Location } from './shared/same-zone.js';
-export { CompletionPolicy } from './placement/completion-policy.js';
-export type { PlacedGate, Placement, PlacementOptions } from './placement/completion-policy.js';
-export { TargetBook } from './placement/target-book.js';
-export type { GateView } from './placement/target-book.js';
+export { PlacementPolicy } from './placement/placement-policy.js';
+export type {
+  GateChoice,
+  PlacementContext,
+  PlacementPolicyOptions,
+} from './placement/placement-policy.js';
+export { GateTable } from './placement/gate-table.js';
+export type { GateView } from './placement/gate-table.js';
 export type {
   CallerLimits,
   Route,
@@ -61,4 +65,4 @@
 } from './routes/route-configuration.js';
 export { RouteTable } from './routes/route-table.js';
 export { TrafficSplit } from './routes/traffic-split.js';
-export { endToEndList, fieldOf, outgoingFields } from './messages/header-list.js';
+export { endToEndHeaders, headerValue, toOutgoingHeaders } from './messages/header-list.js';
--- a/packages/mesh-core/src/membership/ended-servers.ts
+++ b/packages/mesh-core/src/membership/ended-servers.ts
@@ -1,35 +1,37 @@
-import type { EndedServer, NodeServer } from '../messages/mesh-frames.js';
+import type { EndedServer, EndedNodeServer } from '../messages/mesh-frames.js';
 
-/** A report that was sent before a server left arrives within seconds, or was held up by a cut of the network. */
-const rememberedMilliseconds = 60_000;
-/** Bounds what a greeting carries; more servers than that seldom leave in a minute. */
-const maximumRemembered = 16;
+/** Reports sent before a server ended arrive within seconds, unless a network partition delays them. */
+const retentionMilliseconds = 60_000;
+/** Bounds the size of the hello message between nodes; rarely do more servers than this end within a minute. */
+const maximumRetainedServers = 16;
 
-interface Remembered {
-  readonly server: NodeServer;
-  readonly at: number;
+interface ServerEnding {
+  readonly server: EndedNodeServer;
+  /** Monotonic time at which this node learned of it. */
+  readonly endedAt: number;
 }
 
 /**
- * Servers of other nodes that drained or left a short while ago. A node's process that starts again knows nothing
- * of the confirmation that an earlier life gave, and a late report or a false health answer would have it use the
- * server again; so others tell it.
+ * Servers of other nodes that recently drained or left. After a restart, a node does not know that its previous
+ * incarnation confirmed the end of its server, so a late report or a wrong health response would make it use that
+ * server again. Therefore the other nodes report these servers to it when it connects.
  */
 export class EndedServers {
-  private remembered: Remembered[] = [];
+  private endings: ServerEnding[] = [];
 
-  public note(node: string, { instanceId, startedAt }: EndedServer, now: number): void {
-    const server = { instanceId, node, startedAt };
-    const isOther = (known: Remembered): boolean =>
-      known.server.node !== node || known.server.instanceId !== instanceId;
-    this.remembered = [...this.remembered.filter(isOther), { at: now, server }].slice(
-      -maximumRemembered,
+  /** Records that a server ended; replaces an earlier record of the same server. */
+  public record(nodeName: string, { instanceId, startedAt }: EndedServer, now: number): void {
+    const server = { instanceId, node: nodeName, startedAt };
+    const isOther = (known: ServerEnding): boolean =>
+      known.server.node !== nodeName || known.server.instanceId !== instanceId;
+    this.endings = [...this.endings.filter(isOther), { endedAt: now, server }].slice(
+      -maximumRetainedServers,
     );
   }
 
-  /** What to tell a node that connects. */
-  public recent(now: number): readonly NodeServer[] {
-    this.remembered = this.remembered.filter(({ at }) => now - at < rememberedMilliseconds);
-    return this.remembered.map(({ server }) => server);
+  /** The recently ended servers, to be reported to a node that connects. */
+  public listRecent(now: number): readonly EndedNodeServer[] {
+    this.endings = this.endings.filter(({ endedAt }) => now - endedAt < retentionMilliseconds);
+    return this.endings.map(({ server }) => server);
   }
 }
--- a/packages/mesh-core/src/membership/node-directory.ts
+++ b/packages/mesh-core/src/membership/node-directory.ts
@@ -1,179 +1,185 @@
 import type { MeshNode } from '../messages/mesh-frames.js';
-import { completeFleetNodes, PeerSelection } from './peer-selection.js';
+import { maximumFullMeshNodes, PeerSelection } from './peer-selection.js';
 
-/** Time after which a node that can't be reached and that nobody mentions is forgotten. */
+/** Time after which an unreachable node that no source announces any more is forgotten. */
 const forgetAfterMilliseconds = 60_000;
-const shortestRedialMilliseconds = 100;
-const longestRedialMilliseconds = 2_000;
-/** A node that was lost a short while ago may be starting again, and without the store it waits to be found. */
-const recentMilliseconds = 10_000;
-const recentRedialMilliseconds = 300;
+const minimumRedialMilliseconds = 100;
+const maximumRedialMilliseconds = 2_000;
 /**
- * Time for which a node whose connection was lost is dialed although it is not selected: requests that wait
- * there end when it is connected again or refuses.
+ * A node that was announced or lost within this time may be restarting. If it cannot reach the store, it depends on
+ * other nodes dialing it, so it is dialed more often.
  */
-const lostConnectionMilliseconds = 3_000;
-/** A node that nobody selects is never dialed; it is forgotten when the directory lacks it for this long. */
-const forgetUnselectedMilliseconds = 900_000;
-/** The node with the later name waits, so that two nodes seldom dial each other at the same time. */
-const secondDialerMilliseconds = 150;
+const recentlyAnnouncedMilliseconds = 10_000;
+const maximumRecentRedialMilliseconds = 300;
+/**
+ * Time for which a node whose connection was lost is dialed even if it is not selected: requests sent to it stay
+ * pending until it is connected again or refuses the connection.
+ */
+const lostConnectionRedialMilliseconds = 3_000;
+/** A node that is not selected is not dialed; it is forgotten when no source has announced it for this long. */
+const forgetUnselectedAfterMilliseconds = 900_000;
+/** After a lost connection, the node whose name sorts later waits, so that the two seldom dial each other at once. */
+const secondDialerDelayMilliseconds = 150;
 
 interface KnownNode {
   node: MeshNode;
   isConnected: boolean;
-  wasConnected: boolean;
-  lastMentionedAt: number;
-  dialAt: number;
-  failures: number;
-  /** Until then it is dialed in any case. */
-  dialedUntil: number;
+  hasBeenConnected: boolean;
+  lastAnnouncedAt: number;
+  nextDialAt: number;
+  failedDialCount: number;
+  /** Until this time it is dialed even if it is not selected. */
+  dialRegardlessUntil: number;
 }
 
 /**
- * The other nodes that this one knows of, and when to dial each. Entries of the store and what other
- * nodes say are hints of where a node may be; whether it lives shows on the connection to it.
+ * The other nodes that this node knows of, and when to dial each of them. Entries in the store and gossip from
+ * other nodes are only hints of a node's address; whether the node is alive is observed on the connection to it.
  */
 export class NodeDirectory {
-  private readonly known = new Map<string, KnownNode>();
-  private forgotten: MeshNode[] = [];
-  private connectedCount = 0;
+  private readonly knownNodes = new Map<string, KnownNode>();
+  private forgottenNodes: MeshNode[] = [];
+  private connectionCount = 0;
   private readonly selection: PeerSelection;
-  /** The nodes to connect to; undefined after a change. */
-  private selected: ReadonlySet<string> | undefined;
+  /** The selected peers; undefined if they have to be selected again after a change. */
+  private selectedNodes: ReadonlySet<string> | undefined;
 
   public constructor(private readonly self: MeshNode) {
     this.selection = new PeerSelection(self);
   }
 
-  /** Nodes that may be at work now, this one included. */
-  public get size(): number {
-    return this.known.size + 1;
+  /** Number of nodes that may be running, including this one. */
+  public get nodeCount(): number {
+    return this.knownNodes.size + 1;
   }
 
-  public get connected(): number {
-    return this.connectedCount;
+  public get connectedCount(): number {
+    return this.connectionCount;
   }
 
-  /** Nodes that this one means to be connected to. */
-  public get wanted(): number {
-    return this.isComplete ? this.known.size : this.selectedNow().size;
+  /** Number of nodes that this node should be connected to. */
+  public get wantedConnectionCount(): number {
+    return this.isFullMesh ? this.knownNodes.size : this.currentSelection().size;
   }
 
-  /** Nodes that had a connection and have none now. */
-  public get gone(): number {
+  /** Number of nodes that were connected to this one and no longer are. */
+  public get lostNodeCount(): number {
     let count = 0;
-    for (const { isConnected, wasConnected } of this.known.values()) {
-      if (wasConnected && !isConnected) count += 1;
+    for (const { isConnected, hasBeenConnected } of this.knownNodes.values()) {
+      if (hasBeenConnected && !isConnected) count += 1;
     }
     return count;
   }
 
   public nodes(): readonly MeshNode[] {
-    return [...this.known.values()].map(({ node }) => node);
+    return [...this.knownNodes.values()].map(({ node }) => node);
   }
 
-  /** The store or another node names a node. True if it was not known in this life. */
-  public mentioned(node: MeshNode, now: number): boolean {
+  /** Records that the store or another node announced a node. Returns true if this incarnation of it is new. */
+  public onNodeAnnounced(node: MeshNode, now: number): boolean {
     if (node.name === this.self.name) return false;
-    const known = this.known.get(node.name);
+    const known = this.knownNodes.get(node.name);
     if (known === undefined) {
-      this.known.set(node.name, {
-        dialAt: now,
-        dialedUntil: -Infinity,
-        failures: 0,
+      this.knownNodes.set(node.name, {
+        nextDialAt: now,
+        dialRegardlessUntil: -Infinity,
+        failedDialCount: 0,
         isConnected: false,
-        lastMentionedAt: now,
+        lastAnnouncedAt: now,
         node,
-        wasConnected: false,
+        hasBeenConnected: false,
       });
       this.selection.add(node);
-      this.selected = undefined;
+      this.selectedNodes = undefined;
       return true;
     }
-    known.lastMentionedAt = now;
+    known.lastAnnouncedAt = now;
     if (node.boot <= known.node.boot || known.isConnected) return false;
     known.node = node;
-    known.failures = 0;
-    known.dialAt = now;
+    known.failedDialCount = 0;
+    known.nextDialAt = now;
     return true;
   }
 
-  public connectedTo(node: MeshNode, now: number): void {
-    this.mentioned(node, now);
-    const known = this.known.get(node.name);
+  public onConnected(node: MeshNode, now: number): void {
+    this.onNodeAnnounced(node, now);
+    const known = this.knownNodes.get(node.name);
     if (known === undefined) return;
     known.node = node;
-    if (!known.isConnected) this.connectedCount += 1;
+    if (!known.isConnected) this.connectionCount += 1;
     known.isConnected = true;
-    known.wasConnected = true;
-    known.failures = 0;
-    known.lastMentionedAt = now;
-    this.selected = undefined;
+    known.hasBeenConnected = true;
+    known.failedDialCount = 0;
+    known.lastAnnouncedAt = now;
+    this.selectedNodes = undefined;
   }
 
-  public disconnected(name: string, now: number): void {
-    const known = this.known.get(name);
+  public onDisconnected(name: string, now: number): void {
+    const known = this.knownNodes.get(name);
     if (known === undefined) return;
-    if (known.isConnected) this.connectedCount -= 1;
+    if (known.isConnected) this.connectionCount -= 1;
     known.isConnected = false;
-    known.lastMentionedAt = now;
-    known.dialedUntil = now + lostConnectionMilliseconds;
-    known.dialAt = now + (this.self.name < name ? 0 : secondDialerMilliseconds);
+    known.lastAnnouncedAt = now;
+    known.dialRegardlessUntil = now + lostConnectionRedialMilliseconds;
+    known.nextDialAt = now + (this.self.name < name ? 0 : secondDialerDelayMilliseconds);
   }
 
-  public dialFailed(name: string, now: number): void {
-    const known = this.known.get(name);
+  public onDialFailed(name: string, now: number): void {
+    const known = this.knownNodes.get(name);
     if (known === undefined) return;
-    if (known.failures === 0) this.selected = undefined;
-    known.failures += 1;
-    const delay = shortestRedialMilliseconds * 2 ** Math.min(known.failures, 5);
-    const isRecent = now - known.lastMentionedAt < recentMilliseconds;
-    const longest = isRecent ? recentRedialMilliseconds : longestRedialMilliseconds;
-    known.dialAt = now + Math.min(delay, longest);
+    if (known.failedDialCount === 0) this.selectedNodes = undefined;
+    known.failedDialCount += 1;
+    const backoffMilliseconds = minimumRedialMilliseconds * 2 ** Math.min(known.failedDialCount, 5);
+    const isRecent = now - known.lastAnnouncedAt < recentlyAnnouncedMilliseconds;
+    const maximumMilliseconds = isRecent
+      ? maximumRecentRedialMilliseconds
+      : maximumRedialMilliseconds;
+    known.nextDialAt = now + Math.min(backoffMilliseconds, maximumMilliseconds);
   }
 
-  /** Nodes that were dialed in vain for long; each is given once. */
-  public takeForgotten(): readonly MeshNode[] {
-    const forgotten = this.forgotten;
-    this.forgotten = [];
-    return forgotten;
+  /** Nodes that were forgotten since the last call after failed attempts to dial them. */
+  public takeForgottenNodes(): readonly MeshNode[] {
+    const nodes = this.forgottenNodes;
+    this.forgottenNodes = [];
+    return nodes;
   }
 
-  /** Nodes to dial now; each is given once until its dial fails or its connection ends. */
-  public dueForDial(now: number): readonly MeshNode[] {
-    const due: MeshNode[] = [];
-    const selected = this.isComplete ? undefined : this.selectedNow();
-    for (const [name, known] of this.known) {
-      if (known.isConnected || known.dialAt > now) continue;
-      const isDialed = selected?.has(name) !== false || now < known.dialedUntil;
-      const forgetAfter = isDialed ? forgetAfterMilliseconds : forgetUnselectedMilliseconds;
-      if (now - known.lastMentionedAt > forgetAfter) {
+  /** Nodes to dial now. A node is returned only once until its dial fails or its connection is lost. */
+  public takeNodesToDial(now: number): readonly MeshNode[] {
+    const nodesToDial: MeshNode[] = [];
+    const selected = this.isFullMesh ? undefined : this.currentSelection();
+    for (const [name, known] of this.knownNodes) {
+      if (known.isConnected || known.nextDialAt > now) continue;
+      const isDialed = selected?.has(name) !== false || now < known.dialRegardlessUntil;
+      const forgetAfter = isDialed ? forgetAfterMilliseconds : forgetUnselectedAfterMilliseconds;
+      if (now - known.lastAnnouncedAt > forgetAfter) {
         this.forget(known);
         continue;
       }
       if (!isDialed) continue;
-      known.dialAt = Infinity;
-      due.push(known.node);
+      known.nextDialAt = Infinity;
+      nodesToDial.push(known.node);
     }
-    return due;
+    return nodesToDial;
   }
 
-  private get isComplete(): boolean {
-    return this.size <= completeFleetNodes;
+  /** Whether the cluster is small enough for every node to connect to every other. */
+  private get isFullMesh(): boolean {
+    return this.nodeCount <= maximumFullMeshNodes;
   }
 
-  private selectedNow(): ReadonlySet<string> {
-    this.selected ??= this.selection.select((name) => {
-      const known = this.known.get(name);
-      return known !== undefined && (known.isConnected || known.failures === 0);
+  private currentSelection(): ReadonlySet<string> {
+    this.selectedNodes ??= this.selection.select((name) => {
+      const known = this.knownNodes.get(name);
+      return known !== undefined && (known.isConnected || known.failedDialCount === 0);
     });
-    return this.selected;
+    return this.selectedNodes;
   }
 
-  private forget({ failures, node }: KnownNode): void {
-    this.known.delete(node.name);
+  private forget({ failedDialCount, node }: KnownNode): void {
+    this.knownNodes.delete(node.name);
     this.selection.remove(node.name);
-    this.selected = undefined;
-    if (failures > 0) this.forgotten.push(node);
+    this.selectedNodes = undefined;
+    if (failedDialCount > 0) this.forgottenNodes.push(node);
   }
 }
--- a/packages/mesh-core/src/membership/peer-selection.ts
+++ b/packages/mesh-core/src/membership/peer-selection.ts
@@ -4,26 +4,26 @@
 import { isSameZone } from '../shared/same-zone.js';
 import { zoneRank } from './zone-rank.js';
 
-/** A fleet of this size connects completely: fewer connections would spare little there. */
-export const completeFleetNodes = 32;
+/** Up to this number of nodes, every node connects to every other: fewer connections would save little. */
+export const maximumFullMeshNodes = 32;
 /**
- * Gates of each service that a node chooses. Those that chose this node are connected too, so more are at hand:
- * among six and more the best is seldom busy while others are not.
+ * Number of gates that a node selects for each service. Nodes that selected this one are connected as well, so more
+ * gates are available. Among six or more, the best one is seldom busy while others are idle.
  */
-const chosenGates = 6;
-/** Of these, gates in the own availability zone, if it has as many; the others are for when it has no room. */
-const chosenNearGates = 4;
-/** First nodes of the own zone, which watch the configuration: two, and one to take over. */
-const chosenLeaders = 3;
-/** Nodes that can't be reached are tried on beside those that replace them, up to this many times as many. */
-const triedFactor = 2;
+const gatesPerService = 6;
+/** Of these, gates in the own availability zone, if it has that many. The others are for when it has no capacity. */
+const ownZoneGatesPerService = 4;
+/** The first nodes of the own zone by rank: the two that watch the configuration in the store, and one to take over. */
+const configurationWatcherCandidates = 3;
+/** Unreachable nodes stay selected beside their replacements, up to this multiple of the number wanted. */
+const maximumTriedFactor = 2;
 
 interface Candidate {
   readonly name: string;
-  readonly order: string;
+  readonly sortKey: string;
 }
 
-/** Candidates that are taken in order. */
+/** Candidates ordered by their sort key. */
 class CandidateList {
   private readonly candidates: Candidate[] = [];
   private isSorted = true;
@@ -38,83 +38,89 @@
     if (index >= 0) this.candidates.splice(index, 1);
   }
 
-  /** Adds the first so many that can be reached, and those tried before them; returns how many can be. */
-  public choose(
+  /**
+   * Adds the first `limit` reachable candidates and the unreachable ones before them to `selected`. Returns the
+   * number of reachable ones.
+   */
+  public selectFirst(
     limit: number,
     isReachable: (name: string) => boolean,
-    chosen: Set<string>,
+    selected: Set<string>,
   ): number {
     this.sort();
-    let reachable = 0;
-    let tried = 0;
+    let reachableCount = 0;
+    let triedCount = 0;
     for (const { name } of this.candidates) {
-      if (reachable >= limit || tried >= limit * triedFactor) break;
-      chosen.add(name);
-      tried += 1;
-      if (isReachable(name)) reachable += 1;
+      if (reachableCount >= limit || triedCount >= limit * maximumTriedFactor) break;
+      selected.add(name);
+      triedCount += 1;
+      if (isReachable(name)) reachableCount += 1;
     }
-    return reachable;
+    return reachableCount;
   }
 
   private sort(): void {
     if (this.isSorted) return;
-    this.candidates.sort((left, right) => (left.order < right.order ? -1 : 1));
+    this.candidates.sort((left, right) => (left.sortKey < right.sortKey ? -1 : 1));
     this.isSorted = true;
   }
 }
 
-/** The gates of one service. */
+/** The gates of one service, by location. */
 interface ServiceGates {
-  readonly near: CandidateList;
-  readonly far: CandidateList;
+  readonly ownZone: CandidateList;
+  readonly otherZones: CandidateList;
 }
 
 /**
- * Which nodes this one connects to, so that what connections cost does not grow with the fleet: a few gates of
- * each service, nearby first, and the nodes that watch the configuration for the zone. Gates are ordered by a
- * hash of both names (rendezvous hashing): each gate is chosen by about equally many nodes, and a node that
- * comes or goes changes few choices.
+ * Selects the nodes that this node connects to: a few gates of each service, those of the own zone first, and the
+ * nodes that watch the configuration for the zone. The number of connections thus does not grow with the cluster.
+ * Gates are ordered by a hash of both names (rendezvous hashing), so that about equally many nodes select each
+ * gate, and a node that joins or leaves changes few selections.
  */
 export class PeerSelection {
-  private readonly services = new Map<string, ServiceGates>();
-  private readonly leaders = new CandidateList();
+  private readonly gatesByService = new Map<string, ServiceGates>();
+  private readonly watcherCandidates = new CandidateList();
 
   public constructor(private readonly self: MeshNode) {}
 
   public add(node: MeshNode): void {
     const { name } = node;
-    const isNear = isSameZone(node, this.self);
+    const isInOwnZone = isSameZone(node, this.self);
     const hash = hashString(`${this.self.name}/${name}`).toString(16).padStart(8, '0');
     const distance = node.region === this.self.region ? 'region' : 'world';
-    const gates = this.gatesOf(node.service);
-    (isNear ? gates.near : gates.far).add({ name, order: `${distance} ${hash} ${name}` });
-    if (isNear) this.leaders.add({ name, order: zoneRank(node) });
+    const gates = this.gatesForService(node.service);
+    (isInOwnZone ? gates.ownZone : gates.otherZones).add({
+      name,
+      sortKey: `${distance} ${hash} ${name}`,
+    });
+    if (isInOwnZone) this.watcherCandidates.add({ name, sortKey: zoneRank(node) });
   }
 
   public remove(name: string): void {
-    for (const { far, near } of this.services.values()) {
-      far.remove(name);
-      near.remove(name);
+    for (const { otherZones, ownZone } of this.gatesByService.values()) {
+      otherZones.remove(name);
+      ownZone.remove(name);
     }
-    this.leaders.remove(name);
+    this.watcherCandidates.remove(name);
   }
 
-  /** The nodes to connect to; one that can't be reached is tried on, and the next takes its place meanwhile. */
+  /** The nodes to connect to. An unreachable node stays selected, and the next one is selected in addition. */
   public select(isReachable: (name: string) => boolean): ReadonlySet<string> {
-    const chosen = new Set<string>();
-    for (const { far, near } of this.services.values()) {
-      const nearby = near.choose(chosenNearGates, isReachable, chosen);
-      far.choose(chosenGates - nearby, isReachable, chosen);
+    const selected = new Set<string>();
+    for (const { otherZones, ownZone } of this.gatesByService.values()) {
+      const ownZoneCount = ownZone.selectFirst(ownZoneGatesPerService, isReachable, selected);
+      otherZones.selectFirst(gatesPerService - ownZoneCount, isReachable, selected);
     }
-    this.leaders.choose(chosenLeaders, isReachable, chosen);
-    return chosen;
+    this.watcherCandidates.selectFirst(configurationWatcherCandidates, isReachable, selected);
+    return selected;
   }
 
-  private gatesOf(service: string): ServiceGates {
-    let gates = this.services.get(service);
+  private gatesForService(service: string): ServiceGates {
+    let gates = this.gatesByService.get(service);
     if (gates === undefined) {
-      gates = { far: new CandidateList(), near: new CandidateList() };
-      this.services.set(service, gates);
+      gates = { otherZones: new CandidateList(), ownZone: new CandidateList() };
+      this.gatesByService.set(service, gates);
     }
     return gates;
   }
--- a/packages/mesh-core/src/messages/header-list.ts
+++ b/packages/mesh-core/src/messages/header-list.ts
@@ -3,37 +3,39 @@
 import type { HeaderList } from './mesh-frames.js';
 
 /**
- * The fields that go on from one connection to the next, from the alternating names and values that
- * Node.js reads. `own` names fields that the system sets itself.
+ * Returns the end-to-end header fields, which are forwarded from one connection to the next. `rawHeaders` has
+ * alternating names and values, as Node.js reads them. `reservedNames` are fields that only this system sets.
  */
-export function endToEndList(
+export function endToEndHeaders(
   rawHeaders: readonly string[],
-  own: ReadonlySet<string>,
+  reservedNames: ReadonlySet<string>,
 ): [string, string][] {
   const fields: [string, string][] = [];
-  const listed = new Set<string>();
+  const connectionOptions = new Set<string>();
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = (rawHeaders[index] ?? '').toLowerCase();
     const value = rawHeaders[index + 1] ?? '';
-    if (name === 'connection') for (const token of namesListed(value)) listed.add(token);
-    if (hopByHopNames.has(name) || name === 'content-length' || own.has(name)) continue;
+    if (name === 'connection') for (const token of namesListed(value)) connectionOptions.add(token);
+    if (hopByHopNames.has(name) || name === 'content-length' || reservedNames.has(name)) continue;
     fields.push([name, value]);
   }
-  return listed.size === 0 ? fields : fields.filter(([name]) => !listed.has(name));
+  return connectionOptions.size === 0
+    ? fields
+    : fields.filter(([name]) => !connectionOptions.has(name));
 }
 
-/** The first value of a field. */
-export function fieldOf(fields: HeaderList, name: string): string | undefined {
+/** Returns the first value of a header field; `name` must be in lower case. */
+export function headerValue(fields: HeaderList, name: string): string | undefined {
   return fields.find(([field]) => field === name)?.[1];
 }
 
-/** Fields in the form that Node.js writes: a name with several values has a list. */
-export function outgoingFields(fields: HeaderList): Record<string, string | string[]> {
+/** Converts header fields to the form that Node.js writes: a name with several values has an array. */
+export function toOutgoingHeaders(fields: HeaderList): Record<string, string | string[]> {
   const outgoing: Record<string, string | string[]> = {};
   for (const [name, value] of fields) {
-    const known = outgoing[name];
-    if (known === undefined) outgoing[name] = value;
-    else outgoing[name] = typeof known === 'string' ? [known, value] : [...known, value];
+    const existing = outgoing[name];
+    if (existing === undefined) outgoing[name] = value;
+    else outgoing[name] = typeof existing === 'string' ? [existing, value] : [...existing, value];
   }
   return outgoing;
 }
--- a/packages/mesh-core/src/messages/mesh-frames.ts
+++ b/packages/mesh-core/src/messages/mesh-frames.ts
@@ -1,52 +1,52 @@
-/** Header fields as they came, in order; names in lower case. */
+/** Header fields in the order received; names in lower case. */
 export type HeaderList = readonly (readonly [name: string, value: string])[];
 
-/** A node as others know it. */
+/** A node, as announced to other nodes. */
 export interface MeshNode {
   readonly name: string;
-  /** Identifies one life of the node's process; later lives have higher numbers. */
+  /** Incarnation of the node's process; a later incarnation has a higher number. */
   readonly boot: number;
-  /** The service of the server beside the node. */
+  /** The service of the server that the node is the gate of. */
   readonly service: string;
   readonly availabilityZone: string;
   readonly region: string;
-  /** Where other nodes reach it. */
+  /** Address at which other nodes connect to it. */
   readonly address: string;
 }
 
 export const ServerState = {
-  /** No server is known, or it left. */
+  /** No server is known, or it has left. */
   Absent: 'absent',
   Draining: 'draining',
   Ready: 'ready',
 } as const;
 export type ServerState = (typeof ServerState)[keyof typeof ServerState];
 
-/** What a gate says of its server. */
+/** The load of a server, as its gate reports it. */
 export interface GateLoad {
   readonly state: ServerState;
   readonly running: number;
   readonly waiting: number;
-  /** Requests that the gate runs at the same time. */
+  /** Maximum number of requests that the gate runs at the same time. */
   readonly limit: number;
-  /** Expected time until a request that comes now would start. */
+  /** Expected time until a request received now would start. */
   readonly waitMilliseconds: number;
-  /** Time that work takes relative to the usual, 1 for the usual. */
+  /** Current duration of work relative to its normal duration; 1 if there is no slowdown. */
   readonly slowdown: number;
-  /** Recent mean time of a request at the server. */
+  /** Recent mean service time of a request at the server. */
   readonly serviceMilliseconds: number;
-  /** Recent share of requests that the server failed, 0 to 1. */
+  /** Recent share of requests that failed at the server, from 0 to 1. */
   readonly failureShare: number;
 }
 
 export const DeclineReason = {
-  /** Others may start it sooner; the sender may insist. */
+  /** Other gates may start the request sooner; the sender may send it again with `optional` unset. */
   Busy: 'busy',
   DeadlineTooShort: 'deadline-too-short',
   Draining: 'draining',
   NoServer: 'no-server',
   QueueFull: 'queue-full',
-  /** The server said that it did not run the request. */
+  /** The server reported that it did not run the request. */
   ServerRefused: 'server-refused',
   ServerUnreachable: 'server-unreachable',
   WrongService: 'wrong-service',
@@ -56,7 +56,7 @@
 /** Asks a gate to run a request. */
 export interface StartFrame {
   readonly kind: 'start';
-  /** Unique in one life of the sender. A second frame with the same number asks for the same run. */
+  /** Unique in one incarnation of the sender. A second frame with the same number is for the same execution. */
   readonly callId: number;
   readonly service: string;
   readonly routeName: string;
@@ -68,34 +68,34 @@
   readonly body?: Uint8Array | undefined;
   readonly idempotent: boolean;
   readonly priority: number;
-  /** Whether a server waits for the answer while it holds a slot of its own. */
+  /** Whether the caller is a server that occupies one of its own slots while it waits for the answer. */
   readonly nested: boolean;
-  /** Whether the request went to a server before. */
+  /** Whether the request has been sent to a server before. */
   readonly repeat: boolean;
-  /** Whether the gate may decline because another may be sooner. */
+  /** Whether the gate may decline because another gate may be sooner. */
   readonly optional: boolean;
   readonly remainingMilliseconds: number;
   /** Time until the route's target latency has passed; negative once it has. */
   readonly targetMilliseconds: number;
 }
 
-/** Withdraws a request whose answer nobody waits for. */
+/** Cancels a request whose answer is no longer needed. */
 export interface CancelFrame {
   readonly kind: 'cancel';
   readonly callId: number;
 }
 
-/** The request was not run and will not be. */
+/** The request did not run and will not run at this gate. */
 export interface DeclinedFrame {
   readonly kind: 'declined';
   readonly callId: number;
   readonly reason: DeclineReason;
-  /** Expected time until an answer if the sender insists or comes back. */
+  /** Expected time until an answer if the request is sent to this gate again. */
   readonly expectedMilliseconds: number;
   readonly load: GateLoad;
 }
 
-/** The server's whole answer. */
+/** The complete answer of the server. */
 export interface AnsweredFrame {
   readonly kind: 'answered';
   readonly callId: number;
@@ -105,7 +105,7 @@
   readonly load: GateLoad;
 }
 
-/** The request may have run and has no answer. */
+/** The request may have run, and there is no answer. */
 export interface FailedFrame {
   readonly kind: 'failed';
   readonly callId: number;
@@ -113,57 +113,59 @@
   readonly load: GateLoad;
 }
 
-/** A lifetime of a server whose drain or end was confirmed. */
+/** One incarnation of a server that is confirmed to drain or to have ended. */
 export interface EndedServer {
   readonly instanceId: string;
-  /** Unix milliseconds of its start; undefined if it did not say. */
+  /** Start time in Unix milliseconds; undefined if the server did not report it. */
   readonly startedAt?: number | undefined;
 }
 
-/** A server that ended, and the node beside it. */
-export interface NodeServer extends EndedServer {
+/** A server that drains or has ended, and the node that is its gate. */
+export interface EndedNodeServer extends EndedServer {
   readonly node: string;
 }
 
+/** Reports the load of the sender's server. */
 export interface LoadFrame {
   readonly kind: 'load';
   readonly load: GateLoad;
-  /** The server that drains or has left, when that has just become so. */
+  /** The server that has just begun to drain or has just left, if any. */
   readonly endedServer?: EndedServer | undefined;
 }
 
-/** A configuration as the operator wrote it. */
+/** A configuration, in the form in which the operator wrote it. */
 export interface ConfigurationFrame {
   readonly kind: 'configuration';
   readonly version: number;
   readonly content: Uint8Array;
 }
 
-/** The sender has this version of the configuration in force. */
+/** Reports the version of the configuration that is in force at the sender. */
 export interface VersionFrame {
   readonly kind: 'version';
   readonly version: number;
-  /** The newest era of the store that the sender has seen; nodes that don't ask the store learn of it so. */
+  /** The newest store era that the sender has observed, for nodes that do not query the store themselves. */
   readonly storeEra?: number | undefined;
 }
 
-/** Whether the store answers the sender. */
+/** Reports whether the sender can reach the store. */
 export interface StoreReachFrame {
   readonly kind: 'store-reach';
   readonly reachesStore: boolean;
 }
 
-/** Asks for the configuration that the receiver has in force. */
+/** Requests the configuration that is in force at the receiver. */
 export interface PullFrame {
   readonly kind: 'pull';
 }
 
+/** Announces other nodes to the receiver. */
 export interface MembersFrame {
   readonly kind: 'members';
   readonly members: readonly MeshNode[];
 }
 
-/** The sender's process ends on purpose. */
+/** Announces that the sender's process is shutting down. */
 export interface LeavingFrame {
   readonly kind: 'leaving';
 }
--- /dev/null
+++ b/packages/mesh-core/src/placement/gate-table.ts
@@ -0,0 +1,75 @@
+import { ServerState } from '../messages/mesh-frames.js';
+import type { GateLoad, MeshNode } from '../messages/mesh-frames.js';
+
+/** What this node knows about one gate. */
+export interface GateView {
+  readonly node: MeshNode;
+  load: GateLoad;
+  loadReceivedAt: number;
+  /** Number of requests that this node has sent since the last load report, which does not include them. */
+  unreportedRequests: number;
+  isConnected: boolean;
+}
+
+/** The gates of all services that this node is or was connected to, with the last reported load of each. */
+export class GateTable {
+  private readonly views = new Map<string, GateView>();
+
+  public onConnected(node: MeshNode, load: GateLoad, now: number): void {
+    this.views.set(node.name, {
+      isConnected: true,
+      load,
+      loadReceivedAt: now,
+      node,
+      unreportedRequests: 0,
+    });
+  }
+
+  public onDisconnected(name: string): void {
+    const view = this.views.get(name);
+    if (view !== undefined) view.isConnected = false;
+  }
+
+  public remove(name: string): void {
+    this.views.delete(name);
+  }
+
+  public onLoadReported(name: string, load: GateLoad, now: number): void {
+    const view = this.views.get(name);
+    if (view === undefined) return;
+    view.load = load;
+    view.loadReceivedAt = now;
+    view.unreportedRequests = 0;
+  }
+
+  public onRequestSent(name: string): void {
+    const view = this.views.get(name);
+    if (view !== undefined) view.unreportedRequests += 1;
+  }
+
+  public get(name: string): GateView | undefined {
+    return this.views.get(name);
+  }
+
+  /** Age in milliseconds of the newest load report of each service. */
+  public loadAges(now: number): ReadonlyMap<string, number> {
+    const ages = new Map<string, number>();
+    for (const { loadReceivedAt: loadAt, node } of this.views.values()) {
+      ages.set(node.service, Math.min(ages.get(node.service) ?? Infinity, now - loadAt));
+    }
+    return ages;
+  }
+
+  /** The gates of a service that are connected and whose server is ready. */
+  public *readyGates(service: string): Generator<GateView> {
+    for (const view of this.views.values()) {
+      if (
+        view.node.service === service &&
+        view.isConnected &&
+        view.load.state === ServerState.Ready
+      ) {
+        yield view;
+      }
+    }
+  }
+}
--- /dev/null
+++ b/packages/mesh-core/src/placement/placement-policy.ts
@@ -0,0 +1,164 @@
+import type { RandomSource } from '@peridotspring/core';
+
+import { isSameZone } from '../shared/same-zone.js';
+import type { GateView } from './gate-table.js';
+
+/** Network round trip to a gate in another availability zone of the region. */
+const otherZoneRoundTripMilliseconds = 4;
+/** Network round trip to a gate in another region. */
+const otherRegionRoundTripMilliseconds = 80;
+/**
+ * Cost of a kilobyte sent between zones, which is billed. The unit is the amount by which an answer in time is
+ * worth more than a late one: 0.027 of 0.9, from the prices and the values of requests of the registries.
+ */
+const otherZoneCostPerKilobyte = 0.03;
+/** Up to this share of the target latency, an expected answer has no risk of being late. */
+const safeTargetShare = 0.45;
+/**
+ * From this share of the target latency on, an answer is taken as certain to be late. It exceeds 1 because expected
+ * times are uncertain.
+ */
+const lateTargetShare = 1.2;
+/** Cost of a second of waiting; it decides between gates when the request is late in any case. */
+const costPerSecondOfWaiting = 0.2;
+/** Cost of a gate whose slots are all in use, so that load is spread before queues form. */
+const fullGateCost = 0.02;
+/** Gates whose costs differ by less than this count as equal, and one of them is chosen at random. */
+const tieCostDifference = 0.003;
+/** Probability that the wait for a busy or slowed-down server lasts for another slowdown span. */
+const additionalSpanProbability = 0.25;
+/** Length of the spans in which neighbouring workloads slow a server down; older slowdown reports are ignored. */
+const slowdownSpanMilliseconds = 150;
+/** An expected time above this multiple of the service time is taken to include a wait. */
+const waitingFactor = 1.25;
+/** A server is slow if it takes this many times as long as its peers; the mix of requests explains less. */
+const slowServerFactor = 1.6;
+
+export interface PlacementPolicyOptions {
+  readonly availabilityZone: string;
+  readonly region: string;
+  readonly random: RandomSource;
+}
+
+/** What the choice depends on, apart from the gates. */
+export interface PlacementContext {
+  readonly now: number;
+  readonly excludedNodes: ReadonlySet<string>;
+  /** Mean size of a request and its answer on this route. */
+  readonly kilobytes: number;
+  /** Time left until the route's target latency has passed; negative once it has. */
+  readonly targetMilliseconds: number;
+}
+
+/** The chosen gate and its expected cost, as a share of the value of an answer in time. */
+export interface GateChoice {
+  readonly view: GateView;
+  readonly cost: number;
+  /** The cost of the second-best gate; infinite if there is no other. */
+  readonly nextBestCost: number;
+}
+
+/**
+ * Chooses the gate with the lowest expected cost. The cost combines the risk that the answer misses the target
+ * latency, the share of requests that fail at the gate, and the billed traffic between zones. A short wait in
+ * the own zone is therefore preferred to a gate in another zone if it leaves enough time.
+ */
+export class PlacementPolicy {
+  public constructor(private readonly options: PlacementPolicyOptions) {}
+
+  public choose(candidates: Iterable<GateView>, context: PlacementContext): GateChoice | undefined {
+    const views = [...candidates].filter(({ node }) => !context.excludedNodes.has(node.name));
+    const medianMilliseconds = medianServiceMilliseconds(views);
+    let best: GateChoice | undefined;
+    let ties = 0;
+    for (const view of views) {
+      const answerMilliseconds = expectedAnswerMilliseconds(view, medianMilliseconds, context.now);
+      const cost = this.costOf(view, answerMilliseconds, context);
+      const costDifference = cost - (best?.cost ?? Infinity);
+      if (costDifference < -tieCostDifference) {
+        best = { cost, nextBestCost: best?.cost ?? Infinity, view };
+        ties = 1;
+        continue;
+      }
+      const isTie = costDifference < tieCostDifference;
+      if (isTie) ties += 1;
+      const isDrawn = isTie && this.options.random.next() * ties < 1;
+      if (best !== undefined) {
+        best = {
+          cost: best.cost,
+          nextBestCost: Math.min(best.nextBestCost, cost),
+          view: isDrawn ? view : best.view,
+        };
+      }
+    }
+    return best;
+  }
+
+  /** Cost of having a gate run the request if its answer is expected after `answerMilliseconds`. */
+  public costOf(view: GateView, answerMilliseconds: number, context: PlacementContext): number {
+    const { kilobytes, targetMilliseconds } = context;
+    const { load, node, unreportedRequests } = view;
+    const isInOwnZone = isSameZone(node, this.options);
+    const roundTripMilliseconds =
+      node.region === this.options.region
+        ? otherZoneRoundTripMilliseconds
+        : otherRegionRoundTripMilliseconds;
+    const totalMilliseconds = isInOwnZone
+      ? answerMilliseconds
+      : answerMilliseconds + roundTripMilliseconds;
+    const usedShare = Math.min(
+      1,
+      (load.running + load.waiting + unreportedRequests) / Math.max(1, load.limit),
+    );
+    const positiveTargetMilliseconds = Math.max(1, targetMilliseconds);
+    const isWaiting =
+      load.slowdown > 1 || answerMilliseconds > load.serviceMilliseconds * waitingFactor;
+    const longerWaitProbability = isWaiting ? additionalSpanProbability : 0;
+    return (
+      (1 - longerWaitProbability) * latenessRisk(totalMilliseconds / positiveTargetMilliseconds) +
+      longerWaitProbability *
+        latenessRisk((totalMilliseconds + slowdownSpanMilliseconds) / positiveTargetMilliseconds) +
+      (totalMilliseconds / millisecondsPerSecond) * costPerSecondOfWaiting +
+      fullGateCost * usedShare ** 2 +
+      load.failureShare +
+      (isInOwnZone ? 0 : kilobytes * otherZoneCostPerKilobyte)
+    );
+  }
+}
+
+const millisecondsPerSecond = 1_000;
+
+/** Risk, from 0 to 1, that an answer is late if it is expected after this share of its target latency. */
+function latenessRisk(targetShare: number): number {
+  const linearRisk = (targetShare - safeTargetShare) / (lateTargetShare - safeTargetShare);
+  return Math.min(1, Math.max(0, linearRisk)) ** 2;
+}
+
+/** Expected time until an answer, without the network round trip. */
+function expectedAnswerMilliseconds(
+  { load, loadReceivedAt, unreportedRequests }: GateView,
+  medianMilliseconds: number,
+  now: number,
+): number {
+  const limit = Math.max(1, load.limit);
+  const ownMilliseconds = load.serviceMilliseconds;
+  const serviceMilliseconds =
+    ownMilliseconds > medianMilliseconds * slowServerFactor ? ownMilliseconds : medianMilliseconds;
+  const requestsBeyondLimit = load.running + load.waiting + unreportedRequests + 1 - limit;
+  const unreportedWait =
+    (Math.min(unreportedRequests, Math.max(0, requestsBeyondLimit)) * serviceMilliseconds) / limit;
+  const totalWait = load.waitMilliseconds + unreportedWait;
+  return serviceMilliseconds + totalWait + slowdownDelay(load.slowdown, now - loadReceivedAt);
+}
+
+/** Expected delay, in milliseconds, of a request in the remainder of a slowdown span that was reported earlier. */
+function slowdownDelay(slowdown: number, reportAge: number): number {
+  if (slowdown <= 1 || reportAge >= slowdownSpanMilliseconds) return 0;
+  const meanRemaining = (slowdownSpanMilliseconds - reportAge) / 2;
+  return meanRemaining * (1 - 1 / slowdown) * (1 - reportAge / slowdownSpanMilliseconds);
+}
+
+function medianServiceMilliseconds(views: readonly GateView[]): number {
+  const times = views.map(({ load }) => load.serviceMilliseconds).sort((a, b) => a - b);
+  return times[Math.floor((times.length - 1) / 2)] ?? 0;
+}
--- a/packages/mesh-core/src/routes/route-configuration.ts
+++ b/packages/mesh-core/src/routes/route-configuration.ts
@@ -4,7 +4,7 @@
   readonly weight: number;
 }
 
-/** Requests of one host below one path prefix. */
+/** A route: the requests for one host whose path has one prefix. */
 export interface Route {
   readonly name: string;
   /** Lower case, without a port. */
@@ -13,26 +13,26 @@
   readonly pathPrefix: string;
   /** Whether a request may run more than once. */
   readonly idempotent: boolean;
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time that a caller waits for an answer. */
   readonly timeoutMilliseconds: number;
-  /** Time within which an answer has its full value for the caller. */
+  /** Target latency; an answer that takes longer is worth less to the caller. */
   readonly targetLatencyMilliseconds: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Servers to which one request may be sent at most. */
+  /** Maximum number of servers to which one request may be sent. */
   readonly maximumAttempts: number;
   readonly split: readonly WeightedService[];
 }
 
-/** What operators declare of one service. */
+/** Configuration of one service. */
 export interface RoutedService {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one server accepts from all callers together. */
+  /** Maximum number of connections that one server accepts from all callers together. */
   readonly connectionLimit: number;
 }
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on the size of a caller's requests, and on how long it may take to send headers or stay idle. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -40,7 +40,7 @@
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** Everything that operators declare, at one version. */
+/** The complete routing configuration, at one version. */
 export interface RouteConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/packages/mesh-core/src/routes/route-table.ts
+++ b/packages/mesh-core/src/routes/route-table.ts
@@ -1,6 +1,6 @@
 import type { Route, RouteConfiguration } from './route-configuration.js';
 
-/** The routes of one configuration, compiled for lookup by host and longest path prefix. */
+/** The routes of one configuration, indexed for lookup by host and longest path prefix. */
 export class RouteTable {
   /** Routes of each host, the longest prefix first. */
   private readonly routesByHost = new Map<string, Route[]>();
@@ -16,7 +16,7 @@
     }
   }
 
-  /** The route of a request, or undefined if no route of the host has a prefix of the path. */
+  /** Returns the route of a request; undefined if no route of the host has a matching path prefix. */
   public match(hostHeader: string, target: string): Route | undefined {
     const routes = this.routesByHost.get(hostWithoutPort(hostHeader));
     if (routes === undefined) return undefined;
@@ -33,7 +33,7 @@
   return /^(.*?)(?::\d*)?$/.exec(host)?.[1] ?? host;
 }
 
-/** The path of a request target in origin or absolute form (RFC 9112, section 3.2). */
+/** Returns the path of a request target in origin form or absolute form (RFC 9112, section 3.2). */
 function pathOf(target: string): string {
   const origin = /^https?:\/\/[^/?#]*/i.exec(target)?.[0] ?? '';
   const rest = target.slice(origin.length);
--- a/packages/mesh-core/tests/configuration/configuration-pull.test.ts
+++ b/packages/mesh-core/tests/configuration/configuration-pull.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 
 import { ConfigurationHolder, ConfigurationPull, OfferResult } from '../../src/index.js';
-import { configuration } from '../fixtures.js';
+import { createConfiguration } from '../fixtures.js';
 
 test('another node is asked only when the store has not brought the version by itself', () => {
   const pull = new ConfigurationPull('a');
@@ -72,12 +72,15 @@
 test('an older configuration never replaces a newer one', () => {
   const holder = new ConfigurationHolder();
   const content = new Uint8Array();
-  assert.is(holder.offer(configuration({ version: 7 }), content), OfferResult.InForce);
-  assert.is(holder.offer(configuration({ version: 7 }), content), OfferResult.Same);
-  assert.is(holder.offer(configuration({ version: 7 }), Buffer.from('other')), OfferResult.Differs);
-  assert.is(holder.offer(configuration({ version: 3 }), content), OfferResult.Older);
+  assert.is(holder.offer(createConfiguration({ version: 7 }), content), OfferResult.InForce);
+  assert.is(holder.offer(createConfiguration({ version: 7 }), content), OfferResult.Same);
+  assert.is(
+    holder.offer(createConfiguration({ version: 7 }), Buffer.from('other')),
+    OfferResult.Differs,
+  );
+  assert.is(holder.offer(createConfiguration({ version: 3 }), content), OfferResult.Older);
   assert.is(holder.version, 7);
-  assert.is(holder.offer(configuration({ version: 12 }), content), OfferResult.InForce);
+  assert.is(holder.offer(createConfiguration({ version: 12 }), content), OfferResult.InForce);
 });
 
 test.run();
--- a/packages/mesh-core/tests/configuration/watch-duty.test.ts
+++ b/packages/mesh-core/tests/configuration/watch-duty.test.ts
@@ -3,12 +3,12 @@
 
 import { WatchDuty } from '../../src/index.js';
 import type { MeshNode } from '../../src/index.js';
-import { node } from '../fixtures.js';
+import { createNode } from '../fixtures.js';
 
 const names = Array.from({ length: 40 }, (_, index) => `node-${index}`);
 const zones = ['zone-a', 'zone-b'];
 const fleet: readonly MeshNode[] = names.map((name, index) => ({
-  ...node(name),
+  ...createNode(name),
   availabilityZone: zones[index % zones.length] ?? '',
 }));
 const settledMilliseconds = 1_000;
@@ -42,7 +42,7 @@
 
 // At a common start no node is connected yet, and each of them would call the store at once.
 test('a node that has just started waits for others before it watches', () => {
-  const duty = new WatchDuty(node('alone'));
+  const duty = new WatchDuty(createNode('alone'));
   assert.not(duty.evaluate(0));
   assert.not(duty.evaluate(900));
   assert.ok(duty.evaluate(1_000));
--- a/packages/mesh-core/tests/entry/request-forwarder.test.ts
+++ b/packages/mesh-core/tests/entry/request-forwarder.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { CompletionPolicy, RepeatBudget, RequestForwarder, TargetBook } from '../../src/index.js';
+import { PlacementPolicy, RepeatBudget, RequestForwarder, GateTable } from '../../src/index.js';
 import type {
   DeclinedFrame,
   EntryEvent,
@@ -13,30 +13,30 @@
   Route,
   StartFrame,
 } from '../../src/index.js';
-import { entryRequest, load, node, route } from '../fixtures.js';
+import { createEntryRequest, createLoad, createNode, createRoute } from '../fixtures.js';
 
-interface Sent {
+interface SentFrame {
   readonly node: string;
   readonly frame: RequestFrame;
 }
 
-/** An entry whose gates the test plays. */
-class Bench {
-  public readonly sent: Sent[] = [];
+/** A forwarder with recorded output; the test replies in place of the gates. */
+class EntryFixture {
+  public readonly sentFrames: SentFrame[] = [];
   public readonly outcomes: EntryOutcome[] = [];
   public readonly events: EntryEvent[] = [];
-  public readonly unreachable = new Set<string>();
-  public readonly targets = new TargetBook();
+  public readonly unreachableNodes = new Set<string>();
+  public readonly gates = new GateTable();
   public readonly forwarder: RequestForwarder;
 
-  public constructor(names: readonly string[] = ['a', 'b', 'c'], slack = 100) {
+  public constructor(names: readonly string[] = ['a', 'b', 'c'], retrySlack = 100) {
     const random = new SeededRandomSource(1);
-    for (const name of names) this.targets.connected(node(name), load(), 0);
+    for (const name of names) this.gates.onConnected(createNode(name), createLoad(), 0);
     this.forwarder = new RequestForwarder({
-      budget: new RepeatBudget({ ratio: 0, slack, windowMilliseconds: 10_000 }),
+      retryBudget: new RepeatBudget({ ratio: 0, slack: retrySlack, windowMilliseconds: 10_000 }),
       callerService: 'web',
       log: (event) => this.events.push(event),
-      policy: new CompletionPolicy({
+      placementPolicy: new PlacementPolicy({
         availabilityZone: 'zone-a',
         random,
         region: 'region-1',
@@ -44,36 +44,42 @@
       port: {
         respond: (_request, outcome) => this.outcomes.push(outcome),
         send: (name, frame) => {
-          if (this.unreachable.has(name)) return false;
-          this.sent.push({ frame, node: name });
+          if (this.unreachableNodes.has(name)) return false;
+          this.sentFrames.push({ frame, node: name });
           return true;
         },
       },
       random,
-      targets: this.targets,
+      gates: this.gates,
     });
   }
 
   public begin(changes: Partial<Route> = {}, request: Partial<EntryRequest> = {}): void {
-    const entry = entryRequest({ route: route(changes), ...request });
-    this.forwarder.begin(entry, 'shop', false, 0);
+    const entry = createEntryRequest({ route: createRoute(changes), ...request });
+    this.forwarder.forward(entry, 'shop', false, 0);
   }
 
-  public get starts(): readonly (Sent & { readonly frame: StartFrame })[] {
-    return this.sent.filter(
-      (sent): sent is Sent & { frame: StartFrame } => sent.frame.kind === 'start',
+  public get startFrames(): readonly (SentFrame & { readonly frame: StartFrame })[] {
+    return this.sentFrames.filter(
+      (sent): sent is SentFrame & { frame: StartFrame } => sent.frame.kind === 'start',
     );
   }
 
-  public get cancels(): readonly string[] {
-    return this.sent.filter(({ frame }) => frame.kind === 'cancel').map(({ node: name }) => name);
+  public get cancelledNodes(): readonly string[] {
+    return this.sentFrames
+      .filter(({ frame }) => frame.kind === 'cancel')
+      .map(({ node: name }) => name);
   }
 
-  /** The gate of the numbered start replies. */
+  /** Replies to the start frame with this index, from the gate that it was sent to. */
   public reply(index: number, now: number, reply: Partial<ReplyFrame>): void {
-    const start = this.starts[index];
+    const start = this.startFrames[index];
     const callId = start?.frame.callId ?? 0;
-    this.forwarder.reply(start?.node ?? '', { callId, load: load(), ...reply } as ReplyFrame, now);
+    this.forwarder.onReply(
+      start?.node ?? '',
+      { callId, load: createLoad(), ...reply } as ReplyFrame,
+      now,
+    );
   }
 
   public decline(
@@ -90,20 +96,20 @@
   }
 }
 
-// Under load the earlier lines of a request may be left out, and the last one has to explain it alone.
-test('the last line of a refused request names the last gate that declined and how full it was', () => {
-  const bench = new Bench(['a', 'b']);
-  bench.begin();
-  bench.decline(0, 5, 'queue-full');
-  bench.decline(1, 10, 'deadline-too-short');
-  const concluded = bench.events.find(({ event }) => event === 'request-concluded');
+// Under load, earlier log events of a request may be omitted, so the last one must explain the refusal by itself.
+test('the last event of a refused request names the last gate that declined and its occupancy', () => {
+  const fixture = new EntryFixture(['a', 'b']);
+  fixture.begin();
+  fixture.decline(0, 5, 'queue-full');
+  fixture.decline(1, 10, 'deadline-too-short');
+  const concluded = fixture.events.find(({ event }) => event === 'request-concluded');
   const { lastDecline, lastGate, limit, running, waiting } = concluded?.fields ?? {};
-  const full = load();
+  const full = createLoad();
   assert.equal(
     { lastDecline, lastGate, limit, running, waiting },
     {
       lastDecline: 'deadline-too-short',
-      lastGate: bench.starts[1]?.node,
+      lastGate: fixture.startFrames[1]?.node,
       limit: full.limit,
       running: full.running,
       waiting: full.waiting,
@@ -111,51 +117,51 @@
   );
 });
 
-test('an answer goes to the caller', () => {
-  const bench = new Bench();
-  bench.begin();
-  bench.answer(0, 100);
-  assert.is(bench.outcomes[0]?.kind, 'answered');
-  assert.is(bench.forwarder.inProgress, 0);
+test('an answer is returned to the caller', () => {
+  const fixture = new EntryFixture();
+  fixture.begin();
+  fixture.answer(0, 100);
+  assert.is(fixture.outcomes[0]?.kind, 'answered');
+  assert.is(fixture.forwarder.inProgressCount, 0);
 });
 
-test('a request that must not be repeated moves on when a gate says that it did not run', () => {
-  const bench = new Bench();
-  bench.begin({ idempotent: false });
-  bench.decline(0, 5, 'draining');
-  bench.decline(1, 10, 'no-server');
-  bench.answer(2, 100);
-  assert.is(new Set(bench.starts.map(({ node: name }) => name)).size, 3);
-  assert.is(bench.outcomes[0]?.kind, 'answered');
+test('a non-idempotent request is sent to another gate after a gate declined', () => {
+  const fixture = new EntryFixture();
+  fixture.begin({ idempotent: false });
+  fixture.decline(0, 5, 'draining');
+  fixture.decline(1, 10, 'no-server');
+  fixture.answer(2, 100);
+  assert.is(new Set(fixture.startFrames.map(({ node: name }) => name)).size, 3);
+  assert.is(fixture.outcomes[0]?.kind, 'answered');
 });
 
-test('after two busy gates the one that expects the shortest time is told to take the request', () => {
-  const bench = new Bench(['a', 'b']);
-  bench.begin();
-  assert.ok(bench.starts[0]?.frame.optional);
-  bench.decline(0, 5, 'busy', 300);
-  bench.decline(1, 10, 'busy', 200);
-  assert.is(bench.starts[2]?.node, bench.starts[1]?.node);
-  assert.not(bench.starts[2]?.frame.optional);
+test('after two busy gates, the one with the shortest expected time must accept the request', () => {
+  const fixture = new EntryFixture(['a', 'b']);
+  fixture.begin();
+  assert.ok(fixture.startFrames[0]?.frame.optional);
+  fixture.decline(0, 5, 'busy', 300);
+  fixture.decline(1, 10, 'busy', 200);
+  assert.is(fixture.startFrames[2]?.node, fixture.startFrames[1]?.node);
+  assert.not(fixture.startFrames[2]?.frame.optional);
 });
 
-test('a request that no gate can finish in time is refused at once, with a time to come back', () => {
-  const bench = new Bench(['a', 'b']);
-  bench.begin();
-  for (const index of [0, 1]) bench.decline(index, 5, 'queue-full', 900);
-  const [outcome] = bench.outcomes;
+test('a request that no gate can finish in time is refused at once, with a time for a retry', () => {
+  const fixture = new EntryFixture(['a', 'b']);
+  fixture.begin();
+  for (const index of [0, 1]) fixture.decline(index, 5, 'queue-full', 900);
+  const [outcome] = fixture.outcomes;
   assert.is(outcome?.kind, 'refused');
   assert.ok(outcome?.kind === 'refused' && outcome.cause === 'overloaded');
   assert.ok(outcome.retryAfterMilliseconds > 0);
 });
 
 test('without a server the request is refused at once', () => {
-  const bench = new Bench([]);
-  bench.begin();
-  assert.ok(bench.outcomes[0]?.kind === 'refused' && bench.outcomes[0].cause === 'no-server');
+  const fixture = new EntryFixture([]);
+  fixture.begin();
+  assert.ok(fixture.outcomes[0]?.kind === 'refused' && fixture.outcomes[0].cause === 'no-server');
 });
 
-/** Class of the request, what its only attempt came to, and what the caller is told. */
+/** Whether the request is idempotent, the reply to its first attempt, the number of attempts, and the outcome. */
 const failureCases: readonly (readonly [
   boolean,
   Partial<ReplyFrame>,
@@ -172,136 +178,136 @@
 for (const [idempotent, reply, starts, outcome] of failureCases) {
   const status = 'status' in reply ? ` ${reply.status}` : '';
   test(`${idempotent ? 'idempotent' : 'non-idempotent'}, ${reply.kind ?? ''}${status}: ${starts} starts`, () => {
-    const bench = new Bench();
-    bench.begin({ idempotent });
-    bench.reply(0, 50, reply);
-    assert.is(bench.starts.length, starts);
-    assert.is(bench.outcomes[0]?.kind, outcome);
+    const fixture = new EntryFixture();
+    fixture.begin({ idempotent });
+    fixture.reply(0, 50, reply);
+    assert.is(fixture.startFrames.length, starts);
+    assert.is(fixture.outcomes[0]?.kind, outcome);
   });
 }
 
-test('an attempt goes to no more servers than its route allows', () => {
-  const bench = new Bench();
-  bench.begin({ maximumAttempts: 2 });
-  bench.reply(0, 10, { detail: 'reset', kind: 'failed' });
-  bench.reply(1, 20, { detail: 'reset', kind: 'failed' });
-  assert.is(bench.starts.length, 2);
-  assert.is(bench.outcomes[0]?.kind, 'unknown');
+test('a request is sent to no more servers than its route allows', () => {
+  const fixture = new EntryFixture();
+  fixture.begin({ maximumAttempts: 2 });
+  fixture.reply(0, 10, { detail: 'reset', kind: 'failed' });
+  fixture.reply(1, 20, { detail: 'reset', kind: 'failed' });
+  assert.is(fixture.startFrames.length, 2);
+  assert.is(fixture.outcomes[0]?.kind, 'unknown');
 });
 
-test('without budget a failed attempt is not repeated', () => {
-  const bench = new Bench(['a', 'b'], 0);
-  bench.begin();
-  bench.reply(0, 10, { detail: 'reset', kind: 'failed' });
-  assert.is(bench.starts.length, 1);
-  assert.is(bench.outcomes[0]?.kind, 'unknown');
+test('a failed attempt is not retried without retry budget', () => {
+  const fixture = new EntryFixture(['a', 'b'], 0);
+  fixture.begin();
+  fixture.reply(0, 10, { detail: 'reset', kind: 'failed' });
+  assert.is(fixture.startFrames.length, 1);
+  assert.is(fixture.outcomes[0]?.kind, 'unknown');
 });
 
-test('a second arrival at a server is paid from the budget, also when the first one was refused there', () => {
-  const bench = new Bench(['a', 'b', 'c'], 0);
-  bench.begin({ idempotent: false });
-  bench.decline(0, 10, 'server-refused');
-  assert.is(bench.starts.length, 1);
-  assert.is(bench.outcomes[0]?.kind, 'refused');
+test('sending a request to a second server uses the retry budget, even if the first server refused it', () => {
+  const fixture = new EntryFixture(['a', 'b', 'c'], 0);
+  fixture.begin({ idempotent: false });
+  fixture.decline(0, 10, 'server-refused');
+  assert.is(fixture.startFrames.length, 1);
+  assert.is(fixture.outcomes[0]?.kind, 'refused');
 });
 
 test('a late idempotent request is hedged, and the slower attempt is cancelled', () => {
-  const bench = new Bench();
-  bench.begin();
-  bench.forwarder.tick(100);
-  assert.is(bench.starts.length, 1);
-  bench.forwarder.tick(200);
-  assert.is(bench.starts.length, 2);
-  bench.answer(1, 300);
-  assert.equal(bench.cancels, [bench.starts[0]?.node]);
+  const fixture = new EntryFixture();
+  fixture.begin();
+  fixture.forwarder.tick(100);
+  assert.is(fixture.startFrames.length, 1);
+  fixture.forwarder.tick(200);
+  assert.is(fixture.startFrames.length, 2);
+  fixture.answer(1, 300);
+  assert.equal(fixture.cancelledNodes, [fixture.startFrames[0]?.node]);
 });
 
-test('a request that must not be repeated is never hedged', () => {
-  const bench = new Bench();
-  bench.begin({ idempotent: false });
-  for (let now = 0; now < 900; now += 10) bench.forwarder.tick(now);
-  assert.is(bench.starts.length, 1);
+test('a non-idempotent request is never hedged', () => {
+  const fixture = new EntryFixture();
+  fixture.begin({ idempotent: false });
+  for (let now = 0; now < 900; now += 10) fixture.forwarder.tick(now);
+  assert.is(fixture.startFrames.length, 1);
 });
 
-test("the caller gets its final answer at the route's timeout", () => {
-  const bench = new Bench();
-  bench.begin({ idempotent: false, timeoutMilliseconds: 500 });
-  bench.forwarder.tick(499);
-  assert.is(bench.outcomes.length, 0);
-  bench.forwarder.tick(500);
-  assert.ok(bench.outcomes[0]?.kind === 'unknown' && bench.outcomes[0].cause === 'timeout');
-  assert.is(bench.cancels.length, 1);
+test("a request is concluded at the route's timeout", () => {
+  const fixture = new EntryFixture();
+  fixture.begin({ idempotent: false, timeoutMilliseconds: 500 });
+  fixture.forwarder.tick(499);
+  assert.is(fixture.outcomes.length, 0);
+  fixture.forwarder.tick(500);
+  assert.ok(fixture.outcomes[0]?.kind === 'unknown' && fixture.outcomes[0].cause === 'timeout');
+  assert.is(fixture.cancelledNodes.length, 1);
 });
 
-test('after a lost connection the same life of the gate gets the frame again and nothing is lost', () => {
-  const bench = new Bench(['a']);
-  bench.begin({ idempotent: false });
-  bench.forwarder.connectionLost('a', 50);
-  bench.forwarder.connectionRestored('a', 1, 60);
-  assert.is(bench.starts.length, 2);
-  assert.is(bench.starts[1]?.frame.callId, bench.starts[0]?.frame.callId);
-  bench.answer(1, 100);
-  assert.is(bench.outcomes[0]?.kind, 'answered');
+test('after a reconnection, the same incarnation of the gate is sent the start frame again', () => {
+  const fixture = new EntryFixture(['a']);
+  fixture.begin({ idempotent: false });
+  fixture.forwarder.onConnectionLost('a', 50);
+  fixture.forwarder.onConnectionRestored('a', 1, 60);
+  assert.is(fixture.startFrames.length, 2);
+  assert.is(fixture.startFrames[1]?.frame.callId, fixture.startFrames[0]?.frame.callId);
+  fixture.answer(1, 100);
+  assert.is(fixture.outcomes[0]?.kind, 'answered');
 });
 
-test('a later life of the gate does not know the request: its outcome is unknown, and it is not sent again', () => {
-  const bench = new Bench(['a']);
-  bench.begin({ idempotent: false });
-  bench.forwarder.connectionLost('a', 50);
-  bench.forwarder.connectionRestored('a', 2, 60);
-  assert.is(bench.starts.length, 1);
-  assert.is(bench.outcomes[0]?.kind, 'unknown');
+test('a non-idempotent request has an unknown outcome if its gate restarted, and is not sent again', () => {
+  const fixture = new EntryFixture(['a']);
+  fixture.begin({ idempotent: false });
+  fixture.forwarder.onConnectionLost('a', 50);
+  fixture.forwarder.onConnectionRestored('a', 2, 60);
+  assert.is(fixture.startFrames.length, 1);
+  assert.is(fixture.outcomes[0]?.kind, 'unknown');
 });
 
-test('an idempotent request goes elsewhere when the connection to its gate stays lost', () => {
-  const bench = new Bench();
-  bench.begin();
-  const first = bench.starts[0]?.node ?? '';
-  bench.targets.disconnected(first);
-  bench.forwarder.connectionLost(first, 20);
-  bench.forwarder.tick(60);
-  assert.is(bench.starts.length, 1);
-  bench.forwarder.tick(130);
-  assert.is(bench.starts.length, 2);
+test('an idempotent request is sent to another gate when the connection to its gate stays lost', () => {
+  const fixture = new EntryFixture();
+  fixture.begin();
+  const first = fixture.startFrames[0]?.node ?? '';
+  fixture.gates.onDisconnected(first);
+  fixture.forwarder.onConnectionLost(first, 20);
+  fixture.forwarder.tick(60);
+  assert.is(fixture.startFrames.length, 1);
+  fixture.forwarder.tick(130);
+  assert.is(fixture.startFrames.length, 2);
 });
 
-test('a gate without a connection is passed over', () => {
-  const bench = new Bench(['a', 'b']);
-  bench.unreachable.add('a');
-  bench.begin();
+test('a gate without a connection is skipped', () => {
+  const fixture = new EntryFixture(['a', 'b']);
+  fixture.unreachableNodes.add('a');
+  fixture.begin();
   assert.equal(
-    bench.starts.map(({ node: name }) => name),
+    fixture.startFrames.map(({ node: name }) => name),
     ['b'],
   );
 });
 
-test('a caller that goes away has its attempts cancelled and gets no answer', () => {
-  const bench = new Bench();
-  bench.begin();
-  bench.forwarder.abandon(1, 0);
-  assert.is(bench.cancels.length, 1);
-  bench.answer(0, 100);
-  assert.is(bench.outcomes.length, 0);
+test('when a caller disconnects, its attempts are cancelled and it gets no answer', () => {
+  const fixture = new EntryFixture();
+  fixture.begin();
+  fixture.forwarder.onCallerDisconnected(1, 0);
+  assert.is(fixture.cancelledNodes.length, 1);
+  fixture.answer(0, 100);
+  assert.is(fixture.outcomes.length, 0);
 });
 
-test('a gate is told the time that is left, not the time that the caller stated', () => {
-  const bench = new Bench(['a', 'b']);
-  bench.begin({ timeoutMilliseconds: 800 }, { callerDeadline: 700 });
-  assert.is(bench.starts[0]?.frame.remainingMilliseconds, 700);
-  bench.decline(0, 250, 'draining');
-  assert.is(bench.starts[1]?.frame.remainingMilliseconds, 450);
+test('a gate receives the time that remains, not the time limit that the caller set', () => {
+  const fixture = new EntryFixture(['a', 'b']);
+  fixture.begin({ timeoutMilliseconds: 800 }, { callerDeadline: 700 });
+  assert.is(fixture.startFrames[0]?.frame.remainingMilliseconds, 700);
+  fixture.decline(0, 250, 'draining');
+  assert.is(fixture.startFrames[1]?.frame.remainingMilliseconds, 450);
 });
 
-// Under overload a third of the requests are those of callers that return. Taken for new ones they
-// went before requests that could still be in time, although their own target was over.
-test('the target of a caller that returns counts from its first request', () => {
-  const bench = new Bench();
+// Under overload, a third of the requests are retries by callers that were refused. When these were taken for new
+// requests, they ran before requests that could still meet their target, although their own target had passed.
+test("the target latency of a caller's retry counts from its first request", () => {
+  const fixture = new EntryFixture();
   const target = { targetLatencyMilliseconds: 300 };
   for (let first = 0; first < 16; first += 1) {
-    bench.begin(target, { callerDeadline: 1_200, requestNumber: first });
+    fixture.begin(target, { callerDeadline: 1_200, requestNumber: first });
   }
-  bench.begin(target, { callerDeadline: 800, requestNumber: 100 });
-  const targets = bench.starts.map(({ frame }) => frame.targetMilliseconds);
+  fixture.begin(target, { callerDeadline: 800, requestNumber: 100 });
+  const targets = fixture.startFrames.map(({ frame }) => frame.targetMilliseconds);
   assert.equal(targets.slice(0, 16), new Array(16).fill(300));
   assert.is(targets[16], -100);
 });
--- a/packages/mesh-core/tests/fixtures.ts
+++ b/packages/mesh-core/tests/fixtures.ts
@@ -8,7 +8,7 @@
   StartFrame,
 } from '../src/index.js';
 
-export function route(changes: Partial<Route> = {}): Route {
+export function createRoute(changes: Partial<Route> = {}): Route {
   return {
     host: 'a.example',
     idempotent: true,
@@ -23,7 +23,7 @@
   };
 }
 
-export function configuration(changes: Partial<RouteConfiguration> = {}): RouteConfiguration {
+export function createConfiguration(changes: Partial<RouteConfiguration> = {}): RouteConfiguration {
   return {
     limits: {
       bodyBytes: 1_000,
@@ -38,7 +38,7 @@
   };
 }
 
-export function startFrame(changes: Partial<StartFrame> = {}): StartFrame {
+export function createStartFrame(changes: Partial<StartFrame> = {}): StartFrame {
   return {
     callerService: 'web',
     callId: 1,
@@ -60,7 +60,7 @@
   };
 }
 
-export function report(changes: Partial<ServerReport> = {}): ServerReport {
+export function createServerReport(changes: Partial<ServerReport> = {}): ServerReport {
   return {
     coldMilliseconds: 0,
     draining: false,
@@ -72,7 +72,7 @@
   };
 }
 
-export function load(changes: Partial<GateLoad> = {}): GateLoad {
+export function createLoad(changes: Partial<GateLoad> = {}): GateLoad {
   return {
     failureShare: 0,
     limit: 4,
@@ -86,7 +86,7 @@
   };
 }
 
-export function node(name: string, changes: Partial<MeshNode> = {}): MeshNode {
+export function createNode(name: string, changes: Partial<MeshNode> = {}): MeshNode {
   return {
     address: `10.0.0.1:70${name.length}0`,
     availabilityZone: 'zone-a',
@@ -98,7 +98,7 @@
   };
 }
 
-export function entryRequest(changes: Partial<EntryRequest> = {}): EntryRequest {
+export function createEntryRequest(changes: Partial<EntryRequest> = {}): EntryRequest {
   return {
     body: undefined,
     callerDeadline: 1_000,
@@ -108,7 +108,7 @@
     receivedAt: 0,
     requestId: 'r1',
     requestNumber: 1,
-    route: route(),
+    route: createRoute(),
     ...changes,
   };
 }
--- a/packages/mesh-core/tests/gate/load-announcer.test.ts
+++ b/packages/mesh-core/tests/gate/load-announcer.test.ts
@@ -2,30 +2,30 @@
 import * as assert from 'uvu/assert';
 
 import { LoadAnnouncer } from '../../src/index.js';
-import { load } from '../fixtures.js';
+import { createLoad } from '../fixtures.js';
 
 test('nodes that send requests are told of a change, near ones sooner', () => {
   const announcer = new LoadAnnouncer();
   announcer.requested('near', true, 0);
   announcer.requested('far', false, 0);
-  assert.equal(announcer.due(load({ running: 1 }), 10), []);
-  assert.equal(announcer.due(load({ running: 1 }), 40), ['near']);
-  assert.equal(announcer.due(load({ running: 1 }), 300), ['far']);
+  assert.equal(announcer.due(createLoad({ running: 1 }), 10), []);
+  assert.equal(announcer.due(createLoad({ running: 1 }), 40), ['near']);
+  assert.equal(announcer.due(createLoad({ running: 1 }), 300), ['far']);
 });
 
 test('nothing is told twice, and nothing that a reply told already', () => {
   const announcer = new LoadAnnouncer();
   announcer.requested('near', true, 0);
-  announcer.told('near', load({ running: 2 }), 0);
-  assert.equal(announcer.due(load({ running: 2 }), 100), []);
-  assert.equal(announcer.due(load({ running: 3 }), 100), ['near']);
-  assert.equal(announcer.due(load({ running: 3 }), 200), []);
+  announcer.told('near', createLoad({ running: 2 }), 0);
+  assert.equal(announcer.due(createLoad({ running: 2 }), 100), []);
+  assert.equal(announcer.due(createLoad({ running: 3 }), 100), ['near']);
+  assert.equal(announcer.due(createLoad({ running: 3 }), 200), []);
 });
 
 test('a node that sends no more requests costs no more messages', () => {
   const announcer = new LoadAnnouncer();
   announcer.requested('near', true, 0);
-  assert.equal(announcer.due(load({ running: 1 }), 4_000), []);
+  assert.equal(announcer.due(createLoad({ running: 1 }), 4_000), []);
 });
 
 // In a fleet of 74 nodes, nodes that use a gate every few seconds made up most of those that were told.
@@ -33,9 +33,9 @@
   const announcer = new LoadAnnouncer();
   announcer.requested('seldom', true, 0);
   announcer.requested('often', true, 300);
-  assert.equal(announcer.due(load({ running: 1 }), 1_200), ['often']);
+  assert.equal(announcer.due(createLoad({ running: 1 }), 1_200), ['often']);
   announcer.requested('seldom', true, 1_300);
-  assert.equal(announcer.due(load({ running: 2 }), 1_400), ['seldom']);
+  assert.equal(announcer.due(createLoad({ running: 2 }), 1_400), ['seldom']);
 });
 
 /** Reports of a gate whose load changes all the time, in four seconds after the first ones. */
@@ -46,7 +46,7 @@
     for (let node = 0; node < nearNodes + farNodes; node += 1) {
       announcer.requested(`node-${node}`, node < nearNodes, now);
     }
-    const due = announcer.due(load({ running: now % 70 }), now);
+    const due = announcer.due(createLoad({ running: now % 70 }), now);
     if (now > 1_000) reports += due.length;
   }
   return reports;
@@ -67,10 +67,13 @@
 test('a server that turns slow or stops taking requests is told soon, whatever the number of nodes', () => {
   const announcer = new LoadAnnouncer();
   for (let index = 0; index < 40; index += 1) announcer.requested(`near-${index}`, true, 0);
-  assert.is(announcer.due(load({ running: 1 }), 240).length, 40);
-  assert.is(announcer.due(load({ running: 2 }), 280).length, 0);
-  assert.is(announcer.due(load({ running: 2, slowdown: 5 }), 290).length, 40);
-  assert.is(announcer.due(load({ running: 2, slowdown: 5, state: 'draining' }), 330).length, 40);
+  assert.is(announcer.due(createLoad({ running: 1 }), 240).length, 40);
+  assert.is(announcer.due(createLoad({ running: 2 }), 280).length, 0);
+  assert.is(announcer.due(createLoad({ running: 2, slowdown: 5 }), 290).length, 40);
+  assert.is(
+    announcer.due(createLoad({ running: 2, slowdown: 5, state: 'draining' }), 330).length,
+    40,
+  );
 });
 
 test.run();
--- a/packages/mesh-core/tests/gate/server-gate.test.ts
+++ b/packages/mesh-core/tests/gate/server-gate.test.ts
@@ -3,7 +3,7 @@
 
 import { ServerGate } from '../../src/index.js';
 import type { Execution, ExecutionResult, ReplyFrame, StartFrame } from '../../src/index.js';
-import { report, startFrame } from '../fixtures.js';
+import { createServerReport, createStartFrame } from '../fixtures.js';
 
 /** A gate with a server that the test plays. */
 class Bench {
@@ -28,14 +28,14 @@
       probesPerSecond: 30,
       service: 'shop',
     });
-    this.gate.report(report({ slots }), 0);
+    this.gate.report(createServerReport({ slots }), 0);
   }
 
   public start(changes: Partial<StartFrame> = {}, now = 0): number {
     const callId = changes.callId ?? this.nextCallId;
     this.nextCallId += 1;
     const requestId = `r${callId}`;
-    this.gate.start('entry', 1, startFrame({ callId, requestId, ...changes }), now);
+    this.gate.start('entry', 1, createStartFrame({ callId, requestId, ...changes }), now);
     return callId;
   }
 
@@ -86,15 +86,15 @@
 
 test('the same number from another life of the entry is another request', () => {
   const bench = new Bench();
-  bench.gate.start('entry', 1, startFrame({ callId: 7 }), 0);
-  bench.gate.start('entry', 2, startFrame({ callId: 7 }), 0);
+  bench.gate.start('entry', 1, createStartFrame({ callId: 7 }), 0);
+  bench.gate.start('entry', 2, createStartFrame({ callId: 7 }), 0);
   assert.is(bench.running.length, 2);
 });
 
 test('a server that drains gets nothing more, and what waited may go elsewhere at once', () => {
   const bench = new Bench();
   for (let count = 0; count < 3; count += 1) bench.start();
-  bench.gate.report(report({ draining: true, sequence: 2 }), 10);
+  bench.gate.report(createServerReport({ draining: true, sequence: 2 }), 10);
   assert.is(bench.reasonOf(3), 'draining');
   bench.start({}, 11);
   assert.is(bench.reasonOf(4), 'draining');
--- a/packages/mesh-core/tests/gate/server-lifetime.test.ts
+++ b/packages/mesh-core/tests/gate/server-lifetime.test.ts
@@ -3,7 +3,7 @@
 
 import { ReportEffect, ServerLifetime } from '../../src/index.js';
 import type { ServerReport } from '../../src/index.js';
-import { report } from '../fixtures.js';
+import { createServerReport } from '../fixtures.js';
 
 type Step = readonly [Partial<ServerReport> | 'leave', ReportEffect | boolean];
 
@@ -69,7 +69,7 @@
     const lifetime = new ServerLifetime();
     for (const [change, expected] of steps) {
       if (change === 'leave') assert.is(lifetime.leave('i-1'), expected);
-      else assert.is(lifetime.report(report(change), 0), expected);
+      else assert.is(lifetime.report(createServerReport(change), 0), expected);
     }
     assert.is(lifetime.state, state);
   });
@@ -90,7 +90,7 @@
       const lifetime = new ServerLifetime();
       const ended = { instanceId: 'i-1', startedAt: 1_000 };
       if (isToldFirst) lifetime.endedBefore(ended);
-      lifetime.report(report(change), 0);
+      lifetime.report(createServerReport(change), 0);
       if (!isToldFirst) lifetime.endedBefore(ended);
       assert.is(lifetime.state, state);
     });
@@ -107,9 +107,9 @@
 test('the lifetime that drains or ended last can be told to others', () => {
   const lifetime = new ServerLifetime();
   assert.is(lifetime.lastEnded, undefined);
-  lifetime.report(report({ startedAt: 1_000 }), 0);
+  lifetime.report(createServerReport({ startedAt: 1_000 }), 0);
   assert.is(lifetime.lastEnded, undefined);
-  lifetime.report(report({ draining: true, sequence: 2, startedAt: 1_000 }), 0);
+  lifetime.report(createServerReport({ draining: true, sequence: 2, startedAt: 1_000 }), 0);
   assert.equal(lifetime.lastEnded, { instanceId: 'i-1', startedAt: 1_000 });
   lifetime.leave('i-1');
   assert.equal(lifetime.lastEnded, { instanceId: 'i-1', startedAt: 1_000 });
@@ -121,11 +121,11 @@
   lifetime.endedBefore({ instanceId: 'i-1', startedAt: 1_000 });
   lifetime.leave('i-1');
   assert.is(
-    lifetime.report(report({ instanceId: 'i-1', startedAt: 1_000 }), 0),
+    lifetime.report(createServerReport({ instanceId: 'i-1', startedAt: 1_000 }), 0),
     ReportEffect.Ignored,
   );
   assert.is(
-    lifetime.report(report({ instanceId: 'i-1', startedAt: 2_000 }), 0),
+    lifetime.report(createServerReport({ instanceId: 'i-1', startedAt: 2_000 }), 0),
     ReportEffect.Started,
   );
 });
@@ -135,14 +135,14 @@
   lifetime.endedBefore({ instanceId: 'i-1', startedAt: 2_000 });
   lifetime.endedBefore({ instanceId: 'i-1', startedAt: 1_000 });
   assert.is(
-    lifetime.report(report({ instanceId: 'i-1', startedAt: 2_000 }), 0),
+    lifetime.report(createServerReport({ instanceId: 'i-1', startedAt: 2_000 }), 0),
     ReportEffect.Ignored,
   );
 });
 
 test('the leaving of another lifetime closes nothing', () => {
   const lifetime = new ServerLifetime();
-  lifetime.report(report(), 0);
+  lifetime.report(createServerReport(), 0);
   assert.not(lifetime.leave('i-0'));
   assert.is(lifetime.state, 'ready');
 });
@@ -151,7 +151,7 @@
   const lifetime = new ServerLifetime();
   assert.is(lifetime.seen('i-1', 3, 0), ReportEffect.Started);
   assert.is(lifetime.slots, 3);
-  assert.is(lifetime.report(report({ slots: 5 }), 0), ReportEffect.Unchanged);
+  assert.is(lifetime.report(createServerReport({ slots: 5 }), 0), ReportEffect.Unchanged);
   assert.is(lifetime.slots, 5);
 });
 
@@ -160,9 +160,12 @@
 test('a lifetime that a health check told of ends when its server starts again under its identifier', () => {
   const lifetime = new ServerLifetime();
   lifetime.seen('i-1', 3, 0);
-  lifetime.report(report({ sequence: 7, startedAt: 1_000 }), 0);
-  assert.is(lifetime.report(report({ sequence: 1, startedAt: 2_000 }), 0), ReportEffect.Started);
-  const draining = report({ draining: true, sequence: 2, startedAt: 2_000 });
+  lifetime.report(createServerReport({ sequence: 7, startedAt: 1_000 }), 0);
+  assert.is(
+    lifetime.report(createServerReport({ sequence: 1, startedAt: 2_000 }), 0),
+    ReportEffect.Started,
+  );
+  const draining = createServerReport({ draining: true, sequence: 2, startedAt: 2_000 });
   assert.is(lifetime.report(draining, 0), ReportEffect.Draining);
 });
 
--- a/packages/mesh-core/tests/messages/header-list.test.ts
+++ b/packages/mesh-core/tests/messages/header-list.test.ts
@@ -1,16 +1,16 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { endToEndList, outgoingFields } from '../../src/index.js';
+import { endToEndHeaders, toOutgoingHeaders } from '../../src/index.js';
 
-/** Fields as they came, and those that go on. */
+/** Title, header fields as received, and the fields that are forwarded. */
 const cases: readonly (readonly [
   string,
   readonly string[],
   readonly (readonly [string, string])[],
 ])[] = [
   [
-    'other fields go on unchanged',
+    'end-to-end fields are forwarded unchanged',
     ['Accept', '*/*', 'X-A', '1'],
     [
       ['accept', '*/*'],
@@ -18,17 +18,21 @@
     ],
   ],
   [
-    'fields of one connection do not',
+    'hop-by-hop fields are dropped',
     ['Connection', 'close', 'Keep-Alive', 'timeout=5', 'X-A', '1'],
     [['x-a', '1']],
   ],
   [
-    'fields that Connection names do not',
+    'fields that the Connection field lists are dropped',
     ['X-B', '2', 'Connection', 'x-b, close', 'X-A', '1'],
     [['x-a', '1']],
   ],
-  ['the length is written anew', ['Content-Length', '5', 'Transfer-Encoding', 'chunked'], []],
-  ['fields that only the system sets are dropped', ['X-Own', 'forged', 'X-A', '1'], [['x-a', '1']]],
+  [
+    'the body length fields are dropped, since they are set again',
+    ['Content-Length', '5', 'Transfer-Encoding', 'chunked'],
+    [],
+  ],
+  ['reserved fields are dropped', ['X-Own', 'forged', 'X-A', '1'], [['x-a', '1']]],
   [
     'repeated fields keep their order',
     ['Set-Cookie', 'a', 'Set-Cookie', 'b'],
@@ -39,14 +43,14 @@
   ],
 ];
 
-for (const [name, raw, expected] of cases) {
-  test(name, () => {
-    assert.equal(endToEndList(raw, new Set(['x-own'])), expected);
+for (const [title, rawHeaders, expected] of cases) {
+  test(title, () => {
+    assert.equal(endToEndHeaders(rawHeaders, new Set(['x-own'])), expected);
   });
 }
 
-test('a field with several values is written as often', () => {
-  const fields = outgoingFields([
+test('a field with several values becomes an array', () => {
+  const fields = toOutgoingHeaders([
     ['a', '1'],
     ['b', '2'],
     ['a', '3'],
--- a/packages/mesh-core/tests/routes/route-table.test.ts
+++ b/packages/mesh-core/tests/routes/route-table.test.ts
@@ -3,17 +3,17 @@
 
 import { RouteTable } from '../../src/index.js';
 import type { Route } from '../../src/index.js';
-import { route, configuration } from '../fixtures.js';
+import { createRoute, createConfiguration } from '../fixtures.js';
 
 const routes: readonly Route[] = [
-  route({ host: 'a.example', name: 'root', pathPrefix: '/' }),
-  route({ host: 'a.example', name: 'shop', pathPrefix: '/shop/' }),
-  route({ host: 'a.example', name: 'cart', pathPrefix: '/shop/cart/' }),
-  route({ host: 'b.example', name: 'other', pathPrefix: '/shop/' }),
+  createRoute({ host: 'a.example', name: 'root', pathPrefix: '/' }),
+  createRoute({ host: 'a.example', name: 'shop', pathPrefix: '/shop/' }),
+  createRoute({ host: 'a.example', name: 'cart', pathPrefix: '/shop/cart/' }),
+  createRoute({ host: 'b.example', name: 'other', pathPrefix: '/shop/' }),
 ];
-const table = new RouteTable(configuration({ routes }));
+const table = new RouteTable(createConfiguration({ routes }));
 
-/** Host header, request target, and the route that serves it. */
+/** Host header, request target, and the name of the matching route. */
 const cases: readonly (readonly [string, string, string | undefined])[] = [
   ['a.example', '/', 'root'],
   ['a.example', '/shop', 'root'],
@@ -29,7 +29,7 @@
 ];
 
 for (const [host, target, expected] of cases) {
-  test(`${host} ${target} is served by ${expected ?? 'no route'}`, () => {
+  test(`${host} ${target} matches ${expected ?? 'no route'}`, () => {
     assert.is(table.match(host, target)?.name, expected);
   });
 }
--- a/packages/mesh-core/tests/routes/traffic-split.test.ts
+++ b/packages/mesh-core/tests/routes/traffic-split.test.ts
@@ -3,9 +3,9 @@
 import * as assert from 'uvu/assert';
 
 import { TrafficSplit } from '../../src/index.js';
-import { route } from '../fixtures.js';
+import { createRoute } from '../fixtures.js';
 
-const weighted = route({
+const weighted = createRoute({
   split: [
     { service: 'one', weight: 90 },
     { service: 'two', weight: 10 },
@@ -13,9 +13,9 @@
 });
 
 for (const seed of [1, 2, 3, 4, 5]) {
-  test(`shares stay within one request in any span of 50 (seed ${seed})`, () => {
+  test(`the shares are accurate to one request in any 50 consecutive requests (seed ${seed})`, () => {
     const split = new TrafficSplit(new SeededRandomSource(seed));
-    const chosen = Array.from({ length: 500 }, () => split.choose(weighted));
+    const chosen = Array.from({ length: 500 }, () => split.chooseService(weighted));
     for (let start = 0; start + 50 <= chosen.length; start += 1) {
       const ones = chosen.slice(start, start + 50).filter((service) => service === 'one').length;
       assert.ok(Math.abs(ones - 45) <= 1, `${ones} of 50 from ${start}`);
@@ -23,10 +23,10 @@
   });
 }
 
-test('the first request of many nodes is spread by weight, not sent to one service by all', () => {
+test('the first requests of many nodes are spread over the services by weight', () => {
   const services = Array.from({ length: 300 }, (_, seed) =>
-    new TrafficSplit(new SeededRandomSource(seed)).choose(
-      route({
+    new TrafficSplit(new SeededRandomSource(seed)).chooseService(
+      createRoute({
         split: [
           { service: 'one', weight: 1 },
           { service: 'two', weight: 1 },
@@ -40,19 +40,19 @@
 
 test('new weights of a route take effect with the next request', () => {
   const split = new TrafficSplit(new SeededRandomSource(1));
-  for (let count = 0; count < 10; count += 1) split.choose(weighted);
-  const moved = route({
+  for (let count = 0; count < 10; count += 1) split.chooseService(weighted);
+  const moved = createRoute({
     split: [
       { service: 'one', weight: 0.001 },
       { service: 'two', weight: 100 },
     ],
   });
-  const chosen = Array.from({ length: 10 }, () => split.choose(moved));
+  const chosen = Array.from({ length: 10 }, () => split.chooseService(moved));
   assert.ok(chosen.filter((service) => service === 'two').length >= 9);
 });
 
-test('a route with one service always goes there', () => {
-  assert.is(new TrafficSplit(new SeededRandomSource(1)).choose(route()), 'shop');
+test('a route with one service sends all requests to it', () => {
+  assert.is(new TrafficSplit(new SeededRandomSource(1)).chooseService(createRoute()), 'shop');
 });
 
 test.run();
--- a/packages/nodes/src/mesh/mesh-frame-codec.ts
+++ b/packages/nodes/src/mesh/mesh-frame-codec.ts
@@ -7,7 +7,7 @@
   GateLoad,
   MeshFrame,
   MeshNode,
-  NodeServer,
+  EndedNodeServer,
 } from '@peridotspring/mesh-core';
 
 import { FrameFault, LengthPrefixedDecoder, prefixLength } from '../length-prefixed.js';
@@ -28,7 +28,7 @@
   /** Other nodes that the sender knows of; a node that knows far fewer is told of the rest. */
   readonly knownNodes: number;
   /** Servers that drained or left lately; a node that starts again may not know of its own. */
-  readonly endedServers?: readonly NodeServer[] | undefined;
+  readonly endedServers?: readonly EndedNodeServer[] | undefined;
   /** The newest era of the store that the sender has seen. */
   readonly storeEra?: number | undefined;
 }
--- a/packages/nodes/tests/mesh-links.test.ts
+++ b/packages/nodes/tests/mesh-links.test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo, Socket } from 'node:net';
 
 import type { MeshFrame, MeshNode } from '@peridotspring/mesh-core';
-import { load, node } from '@peridotspring/mesh-core/fixtures';
+import { createLoad, createNode } from '@peridotspring/mesh-core/fixtures';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
@@ -43,7 +43,7 @@
       greeting: () => ({
         configurationVersion: 3,
         knownNodes: 1,
-        load: load(),
+        load: createLoad(),
         reachesStore: true,
       }),
       self,
@@ -61,7 +61,7 @@
 
 async function nodeAt(name: string, boot = 1): Promise<MeshNode> {
   const address = `127.0.0.1:${await freePort()}`;
-  return node(name, { address, boot });
+  return createNode(name, { address, boot });
 }
 
 async function until(condition: () => boolean): Promise<void> {
@@ -100,9 +100,9 @@
 test('what changes while a connection is being set up is told on it', async () => {
   await withPeers(async (first, second) => {
     first.links.dial(second.self);
-    first.links.broadcast({ kind: 'load', load: load({ running: 1 }) });
+    first.links.broadcast({ kind: 'load', load: createLoad({ running: 1 }) });
     await until(() => second.frames.length > 0);
-    assert.equal(second.frames, [{ kind: 'load', load: load({ running: 1 }) }]);
+    assert.equal(second.frames, [{ kind: 'load', load: createLoad({ running: 1 }) }]);
   });
 });
 
@@ -153,7 +153,7 @@
   configurationVersion: 0,
   kind: 'hello',
   knownNodes: 0,
-  load: load(),
+  load: createLoad(),
   node,
   protocol,
   reachesStore: true,
--- a/packages/upstreams/src/mesh/server-client.ts
+++ b/packages/upstreams/src/mesh/server-client.ts
@@ -2,7 +2,12 @@
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 
-import { DeclineReason, endToEndList, fieldOf, outgoingFields } from '@peridotspring/mesh-core';
+import {
+  DeclineReason,
+  endToEndHeaders,
+  headerValue,
+  toOutgoingHeaders,
+} from '@peridotspring/mesh-core';
 import type { Execution, ExecutionResult, HeaderList, ServerLoad } from '@peridotspring/mesh-core';
 
 import { AnswerCollector } from '../answer-collector.js';
@@ -146,7 +151,7 @@
     instanceId,
   }: Execution): Record<string, string | string[]> {
     const { clock, codec } = this.options;
-    const fields = outgoingFields(frame.headers);
+    const fields = toOutgoingHeaders(frame.headers);
     fields[codec.requestId] = frame.requestId;
     fields[codec.deadline] = String(Math.max(1, Math.floor(deadline - clock())));
     fields[codec.expectedInstance] = instanceId;
@@ -239,7 +244,7 @@
       const detail = `the server answered ${status} without running the request`;
       return { detail, kind: 'not-run', reason: DeclineReason.ServerRefused };
     }
-    const headers = endToEndList(response.rawHeaders, this.droppedFields);
+    const headers = endToEndHeaders(response.rawHeaders, this.droppedFields);
     const fault = this.faultOf(status, headers);
     return fault === undefined
       ? { body, headers, kind: 'answered', status }
@@ -248,9 +253,9 @@
 
   /** Why an answer can't be the server's own. */
   private faultOf(status: number, headers: HeaderList): string | undefined {
-    if (fieldOf(headers, 'content-encoding') !== undefined) return 'the answer is encoded';
+    if (headerValue(headers, 'content-encoding') !== undefined) return 'the answer is encoded';
     const isSuccess = status >= 200 && status < 300;
-    const isSigned = fieldOf(headers, this.options.codec.signature) !== undefined;
+    const isSigned = headerValue(headers, this.options.codec.signature) !== undefined;
     return isSuccess && !isSigned ? 'the answer has no signature' : undefined;
   }
 
