--- a/packages/callers/src/body-limits.ts
+++ b/packages/callers/src/body-limits.ts
@@ -3,30 +3,30 @@
 
 import type { CallerLimits } from './caller-server-options.js';
 
-/** Bounds on the body of one request, in bytes. */
+/** Limits on the body of a request, in bytes. */
 export interface BodyLimits {
-  /** A body up to this size is held whole; a longer one is streamed if `longest` is above it. */
-  readonly held: number;
-  readonly longest: number;
-  /** What a caller is told whose body is longer. */
+  /** A body up to this size is buffered; a longer one is streamed if `maximumBytes` is larger than this. */
+  readonly bufferedBytes: number;
+  readonly maximumBytes: number;
+  /** Error detail for the caller of a request with a longer body. */
   readonly tooLargeDetail: string;
 }
 
-/** The narrower of the entry's own bounds and the declaration of the service. */
+/** The lower of the entry's own limits and the maximum declared for the service. */
 export function bodyLimitsOf(
   { requestClass, service }: AcceptedRequest,
-  { bodyBytes, heldBodyBytes, keyedBodyBytes }: CallerLimits,
+  { bodyBytes, bufferedBodyBytes, keyedBodyBytes }: CallerLimits,
   { services }: Configuration,
 ): BodyLimits {
   const isKeyed = requestClass === RequestClass.NonIdempotent;
-  const configured = Object.hasOwn(services, service) ? services[service] : undefined;
-  const declared = configured?.maximumBodyBytes ?? Number.POSITIVE_INFINITY;
-  const longest = Math.min(isKeyed ? keyedBodyBytes : bodyBytes, declared);
-  const named = isKeyed ? 'a non-idempotent' : 'an idempotent';
-  const where = longest === declared ? ` to ${service}` : '';
+  const serviceConfiguration = Object.hasOwn(services, service) ? services[service] : undefined;
+  const declaredMaximumBytes = serviceConfiguration?.maximumBodyBytes ?? Number.POSITIVE_INFINITY;
+  const maximumBytes = Math.min(isKeyed ? keyedBodyBytes : bodyBytes, declaredMaximumBytes);
+  const requestPhrase = isKeyed ? 'a non-idempotent' : 'an idempotent';
+  const servicePhrase = maximumBytes === declaredMaximumBytes ? ` to ${service}` : '';
   return {
-    held: Math.min(isKeyed ? keyedBodyBytes : heldBodyBytes, longest),
-    longest,
-    tooLargeDetail: `the body of ${named} request${where} must be at most ${longest} bytes`,
+    bufferedBytes: Math.min(isKeyed ? keyedBodyBytes : bufferedBodyBytes, maximumBytes),
+    maximumBytes,
+    tooLargeDetail: `the body of ${requestPhrase} request${servicePhrase} must be at most ${maximumBytes} bytes`,
   };
 }
--- a/packages/callers/src/caller-server-options.ts
+++ b/packages/callers/src/caller-server-options.ts
@@ -5,14 +5,14 @@
   Configuration,
 } from '@peridotspring/core';
 
-/** Bounds on what callers may send. */
+/** Limits on what callers may send. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly connections: number;
   /** Requests in progress; more are refused with `entry-busy`. */
   readonly requests: number;
-  /** Bodies up to this size are held, so that they can be sent again. */
-  readonly heldBodyBytes: number;
+  /** Bodies up to this size are buffered, so that they can be sent again on a retry. */
+  readonly bufferedBodyBytes: number;
   /** Longest body of an idempotent request. */
   readonly bodyBytes: number;
   /** Longest body of a non-idempotent request. */
@@ -21,14 +21,14 @@
   readonly requestTimeoutMilliseconds: number;
 }
 
-/** A request that was refused or answered, for counters and the journal. */
+/** A request that was refused or answered, for metrics and logs. */
 export interface FinishedRequest {
-  /** Undefined when the head could not be read, so that no request came to be. */
+  /** Undefined when the request head could not be parsed. */
   readonly requestId: string | undefined;
   readonly service: string;
   readonly tenant: string;
   readonly outcome: CallOutcome;
-  /** Present when the entry itself refused the request. */
+  /** Set when the entry itself refused the request. */
   readonly refusedDetail?: string | undefined;
   readonly milliseconds: number;
 }
@@ -36,14 +36,14 @@
 export interface CallerServerOptions {
   readonly bindHost: string;
   readonly bindPort: number;
-  /** Tenant of a request that names none. */
+  /** Tenant of requests without a tenant header. */
   readonly defaultTenant: string;
   readonly limits: CallerLimits;
-  /** Starts every request identifier of this life of the node. */
+  /** Prefix of all request identifiers of this incarnation of the node. */
   readonly requestIdPrefix: string;
   readonly configuration: () => Configuration;
   readonly isStopping: () => boolean;
   readonly clock: () => number;
   readonly deliver: (message: CallerRequestMessage | CallerGoneMessage) => void;
-  readonly finished: (request: FinishedRequest) => void;
+  readonly onFinished: (request: FinishedRequest) => void;
 }
--- a/packages/callers/src/caller-server.ts
+++ b/packages/callers/src/caller-server.ts
@@ -14,9 +14,9 @@
 } from '@peridotspring/core';
 
 import { bodyLimitsOf } from './body-limits.js';
-import { answerHeaders, singleHeader } from './caller-headers.js';
+import { responseHeaders, singleHeader } from './caller-headers.js';
 import type { CallerServerOptions } from './caller-server-options.js';
-import { badRequestResponse, describeConnectionFault } from './connection-fault.js';
+import { badRequestResponse, createParseErrorResponse } from './parse-error-response.js';
 import { outcomeOfRejection, writeOutcome } from './outcome-response.js';
 import { announcesBody, collectBody } from './request-body.js';
 import { createRequestMessage } from './request-message.js';
@@ -30,7 +30,7 @@
   service: string;
   tenant: string;
   body: Readable | undefined;
-  /** The head of a streamed answer is out, and its body follows. */
+  /** The head of a streamed response has been sent, and its body follows. */
   isStreaming: boolean;
 }
 
@@ -38,10 +38,10 @@
 const busyRetryAfterMilliseconds = 200;
 const maximumTenantLength = 64;
 
-/** The HTTP server for callers. Owns their connections and the bodies that are streamed. */
+/** The HTTP server for callers. Owns their connections and the streamed bodies. */
 export class CallerServer {
   private readonly server: Server;
-  private readonly open = new Map<number, OpenRequest>();
+  private readonly openRequests = new Map<number, OpenRequest>();
   private nextRequestNumber = 1;
 
   public constructor(private readonly options: CallerServerOptions) {
@@ -54,14 +54,14 @@
     });
     this.server.maxConnections = limits.connections;
     this.server.on('request', (request, response) => {
-      this.accept(request, response);
+      this.handleRequest(request, response);
     });
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-      this.rejectConnection(error, socket);
+      this.handleClientError(error, socket);
     });
   }
 
-  /** Starts to accept callers; resolves to the port. */
+  /** Starts accepting connections; resolves to the port. */
   public async listen(): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -72,53 +72,53 @@
   }
 
   public get inProgress(): number {
-    return this.open.size;
+    return this.openRequests.size;
   }
 
-  /** The stream of a request body that was too long to hold. */
-  public requestBody(requestNumber: number): Readable | undefined {
-    return this.open.get(requestNumber)?.body;
+  /** The stream of a request body that is too long to buffer. */
+  public requestBodyStream(requestNumber: number): Readable | undefined {
+    return this.openRequests.get(requestNumber)?.body;
   }
 
-  /** Where the streamed body of an answer goes. */
-  public answerSink(requestNumber: number): ServerResponse | undefined {
-    return this.open.get(requestNumber)?.response;
+  /** The stream that receives the body of a streamed response. */
+  public responseStream(requestNumber: number): ServerResponse | undefined {
+    return this.openRequests.get(requestNumber)?.response;
   }
 
-  /** Answers a caller; a streamed body follows through `answerSink`. */
+  /** Answers a caller; a streamed body is written to `responseStream` afterwards. */
   public reply(command: ReplyToCallerCommand): void {
-    const open = this.open.get(command.requestNumber);
-    if (open === undefined) {
+    const openRequest = this.openRequests.get(command.requestNumber);
+    if (openRequest === undefined) {
       return;
     }
     const { outcome } = command;
     if (outcome.kind !== 'answered') {
-      this.finishWithOutcome(open, outcome, undefined);
+      this.finishWithOutcome(openRequest, outcome, undefined);
       return;
     }
-    const { response } = open;
-    this.discardUnreadBody(open);
-    const headers = answerHeaders(command.headers ?? {});
-    headers[HeaderName.RequestId] = open.requestId;
+    const { response } = openRequest;
+    this.disableKeepAliveForUnreadBody(openRequest);
+    const headers = responseHeaders(command.headers ?? {});
+    headers[HeaderName.RequestId] = openRequest.requestId;
     headers[HeaderName.Outcome] = outcome.kind;
     if (command.streamedBody) {
-      open.isStreaming = true;
+      openRequest.isStreaming = true;
       response.writeHead(outcome.status, headers);
       response.once('finish', () => {
-        this.report(open, outcome, undefined);
+        this.reportFinished(openRequest, outcome, undefined);
       });
       return;
     }
     const body = command.body ?? new Uint8Array();
-    if (open.request.method !== 'HEAD' && outcome.status !== 204 && outcome.status !== 304) {
+    if (openRequest.request.method !== 'HEAD' && outcome.status !== 204 && outcome.status !== 304) {
       headers['content-length'] = String(body.length);
     }
     response.writeHead(outcome.status, headers);
     response.end(body);
-    this.report(open, outcome, undefined);
+    this.reportFinished(openRequest, outcome, undefined);
   }
 
-  /** Stops accepting connections and closes idle ones; requests in progress go on. */
+  /** Stops accepting connections and closes idle ones; requests in progress continue. */
   public stopAccepting(): void {
     this.server.close();
     this.server.closeIdleConnections();
@@ -134,10 +134,10 @@
     await closed;
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const requestNumber = this.nextRequestNumber;
     this.nextRequestNumber += 1;
-    const open: OpenRequest = {
+    const openRequest: OpenRequest = {
       body: undefined,
       isStreaming: false,
       request,
@@ -148,9 +148,9 @@
       startedAt: this.options.clock(),
       tenant: this.tenantOf(request),
     };
-    this.open.set(requestNumber, open);
+    this.openRequests.set(requestNumber, openRequest);
     response.once('close', () => {
-      this.closed(open);
+      this.handleResponseClosed(openRequest);
     });
     const { headers, method = 'GET', url = '/' } = request;
     const checked = checkRequest(
@@ -163,59 +163,63 @@
       },
       this.options.configuration(),
     );
-    open.service = checked.service ?? open.service;
+    openRequest.service = checked.service ?? openRequest.service;
     if (checked.kind === 'rejected') {
-      this.rejectRequest(open, checked, undefined);
+      this.rejectRequest(openRequest, checked, undefined);
       return;
     }
-    if (this.rejectWhenBusy(open, checked)) {
+    if (this.rejectIfBusy(openRequest, checked)) {
       return;
     }
     if (!announcesBody(request)) {
-      this.options.deliver(createRequestMessage(open, checked, new Uint8Array()));
+      this.options.deliver(createRequestMessage(openRequest, checked, new Uint8Array()));
       return;
     }
-    void this.readBody(open, checked);
+    void this.readBody(openRequest, checked);
   }
 
-  private rejectWhenBusy(open: OpenRequest, { requestClass }: AcceptedRequest): boolean {
+  private rejectIfBusy(openRequest: OpenRequest, { requestClass }: AcceptedRequest): boolean {
     const isStopping = this.options.isStopping();
-    if (!isStopping && this.open.size <= this.options.limits.requests) {
+    if (!isStopping && this.openRequests.size <= this.options.limits.requests) {
       return false;
     }
     const reason = isStopping ? RefusalReason.NodeStopping : RefusalReason.EntryBusy;
     const retryAfter = isStopping ? stoppingRetryAfterMilliseconds : busyRetryAfterMilliseconds;
     const detail = 'this node takes no more requests now';
-    this.rejectRequest(open, { detail, kind: 'rejected', reason, requestClass }, retryAfter);
+    this.rejectRequest(openRequest, { detail, kind: 'rejected', reason, requestClass }, retryAfter);
     return true;
   }
 
-  private async readBody(open: OpenRequest, checked: AcceptedRequest): Promise<void> {
-    const { held, longest, tooLargeDetail } = bodyLimitsOf(
+  private async readBody(openRequest: OpenRequest, checked: AcceptedRequest): Promise<void> {
+    const { bufferedBytes, maximumBytes, tooLargeDetail } = bodyLimitsOf(
       checked,
       this.options.limits,
       this.options.configuration(),
     );
-    const announced = Number(open.request.headers['content-length'] ?? 0);
+    const announcedBytes = Number(openRequest.request.headers['content-length'] ?? 0);
     const collected =
-      announced > longest
+      announcedBytes > maximumBytes
         ? ({ kind: 'too-large' } as const)
-        : await collectBody(open.request, held, longest);
-    if (!this.open.has(open.requestNumber) || collected.kind === 'cut') {
-      open.request.destroy();
+        : await collectBody(openRequest.request, bufferedBytes, maximumBytes);
+    if (!this.openRequests.has(openRequest.requestNumber) || collected.kind === 'cut') {
+      openRequest.request.destroy();
       return;
     }
     if (collected.kind === 'whole') {
-      this.options.deliver(createRequestMessage(open, checked, collected.bytes));
+      this.options.deliver(createRequestMessage(openRequest, checked, collected.bytes));
       return;
     }
-    if (held === longest || collected.kind === 'too-large') {
+    if (bufferedBytes === maximumBytes || collected.kind === 'too-large') {
       const reason = RefusalReason.BodyTooLarge;
-      this.rejectRequest(open, { detail: tooLargeDetail, kind: 'rejected', reason }, undefined);
+      this.rejectRequest(
+        openRequest,
+        { detail: tooLargeDetail, kind: 'rejected', reason },
+        undefined,
+      );
       return;
     }
-    open.body = collected.stream;
-    this.options.deliver(createRequestMessage(open, checked, undefined));
+    openRequest.body = collected.stream;
+    this.options.deliver(createRequestMessage(openRequest, checked, undefined));
   }
 
   private tenantOf(request: IncomingMessage): string {
@@ -227,64 +231,72 @@
   }
 
   private rejectRequest(
-    open: OpenRequest,
+    openRequest: OpenRequest,
     rejected: RejectedRequest,
     retryAfterMilliseconds: number | undefined,
   ): void {
     const outcome = outcomeOfRejection(rejected, retryAfterMilliseconds);
-    this.finishWithOutcome(open, outcome, rejected.detail);
+    this.finishWithOutcome(openRequest, outcome, rejected.detail);
   }
 
   private finishWithOutcome(
-    open: OpenRequest,
+    openRequest: OpenRequest,
     outcome: RefusedOutcome | UnknownOutcome,
     detail: string | undefined,
   ): void {
-    this.discardUnreadBody(open);
-    writeOutcome(open.response, open.requestId, outcome, detail);
-    this.report(open, outcome, detail);
+    this.disableKeepAliveForUnreadBody(openRequest);
+    writeOutcome(openRequest.response, openRequest.requestId, outcome, detail);
+    this.reportFinished(openRequest, outcome, detail);
   }
 
-  /** A body that nobody reads would block the connection for the next request. */
-  private discardUnreadBody(open: OpenRequest): void {
-    if (!open.request.complete) {
-      open.response.shouldKeepAlive = false;
+  /** An unread body would block the connection for the next request, so the connection is closed. */
+  private disableKeepAliveForUnreadBody(openRequest: OpenRequest): void {
+    if (!openRequest.request.complete) {
+      openRequest.response.shouldKeepAlive = false;
     }
   }
 
-  private report(open: OpenRequest, outcome: CallOutcome, refusedDetail: string | undefined): void {
-    const { requestId, service, startedAt, tenant } = open;
+  private reportFinished(
+    openRequest: OpenRequest,
+    outcome: CallOutcome,
+    refusedDetail: string | undefined,
+  ): void {
+    const { requestId, service, startedAt, tenant } = openRequest;
     const milliseconds = this.options.clock() - startedAt;
-    this.options.finished({ milliseconds, outcome, refusedDetail, requestId, service, tenant });
+    this.options.onFinished({ milliseconds, outcome, refusedDetail, requestId, service, tenant });
   }
 
-  private closed(open: OpenRequest): void {
-    this.open.delete(open.requestNumber);
-    if (!open.response.writableFinished) {
-      // Only this side destroys the answer with an error; a caller that goes away just closes it.
-      if (open.isStreaming && open.response.errored !== null) {
+  private handleResponseClosed(openRequest: OpenRequest): void {
+    this.openRequests.delete(openRequest.requestNumber);
+    if (!openRequest.response.writableFinished) {
+      // Only this node destroys the response with an error; a caller that disconnects closes it without one.
+      if (openRequest.isStreaming && openRequest.response.errored !== null) {
         const reason = UnknownReason.AnswerCut;
-        this.report(open, { attemptStarted: true, kind: 'outcome-unknown', reason }, undefined);
+        this.reportFinished(
+          openRequest,
+          { attemptStarted: true, kind: 'outcome-unknown', reason },
+          undefined,
+        );
       }
-      this.options.deliver({ kind: 'caller-gone', requestNumber: open.requestNumber });
+      this.options.deliver({ kind: 'caller-gone', requestNumber: openRequest.requestNumber });
     }
   }
 
-  private rejectConnection(error: NodeJS.ErrnoException, socket: Socket): void {
+  private handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     if (!socket.writable) {
       socket.destroy();
       return;
     }
-    const fault = describeConnectionFault(error.code, this.options.limits.headerBytes);
-    if (fault === undefined) {
+    const errorResponse = createParseErrorResponse(error.code, this.options.limits.headerBytes);
+    if (errorResponse === undefined) {
       socket.end(badRequestResponse);
       return;
     }
-    socket.end(fault.response);
-    this.options.finished({
+    socket.end(errorResponse.response);
+    this.options.onFinished({
       milliseconds: 0,
-      outcome: fault.outcome,
-      refusedDetail: fault.detail,
+      outcome: errorResponse.outcome,
+      refusedDetail: errorResponse.detail,
       requestId: undefined,
       service: 'unknown',
       tenant: this.options.defaultTenant,
--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -4,12 +4,12 @@
   CallerServerOptions,
   FinishedRequest,
 } from './caller-server-options.js';
-export { statusOf } from './outcome-status.js';
-export type { ConnectionWait } from './routes/caller-connection.js';
+export { httpStatusOf } from './outcome-status.js';
+export type { PipelineWait } from './routes/caller-connection.js';
 export { RouteServer } from './routes/route-server.js';
 export type {
   CallerHeaderNames,
-  LocalAnswer,
+  LocallyAnsweredRequest,
   RouteServerOptions,
-  RoutingView,
+  RoutingConfiguration,
 } from './routes/route-server.js';
--- a/packages/callers/src/outcome-response.ts
+++ b/packages/callers/src/outcome-response.ts
@@ -3,9 +3,9 @@
 import { HeaderName, RequestClass, UnknownReason } from '@peridotspring/core';
 import type { RefusedOutcome, RejectedRequest, UnknownOutcome } from '@peridotspring/core';
 
-import { statusOf } from './outcome-status.js';
+import { httpStatusOf } from './outcome-status.js';
 
-/** What a caller is told of a request that this node turns away before anything was sent. */
+/** The outcome of a request that this node rejects before sending it anywhere. */
 export function outcomeOfRejection(
   { reason, requestClass }: RejectedRequest,
   retryAfterMilliseconds: number | undefined,
@@ -14,7 +14,7 @@
   if (requestClass !== RequestClass.NonIdempotent || unknownReason === undefined) {
     return { kind: 'refused-not-run', reason, retryAfterMilliseconds };
   }
-  // Only the home of the key knows whether an earlier attempt ran.
+  // An earlier attempt with the same key may have run; only the key's home node knows.
   return {
     attemptStarted: false,
     kind: 'outcome-unknown',
@@ -23,7 +23,7 @@
   };
 }
 
-/** Writes a whole response for an outcome without an answer. */
+/** Writes the response for an outcome without an answer from the upstream. */
 export function writeOutcome(
   response: ServerResponse,
   requestId: string,
@@ -31,17 +31,17 @@
   detail: string | undefined,
 ): void {
   const { kind, reason, retryAfterMilliseconds } = outcome;
-  const started = outcome.kind === 'outcome-unknown' && outcome.attemptStarted;
+  const hasAttemptStarted = outcome.kind === 'outcome-unknown' && outcome.attemptStarted;
   response.setHeader('content-type', 'application/json');
   response.setHeader(HeaderName.RequestId, requestId);
   response.setHeader(HeaderName.Outcome, kind);
   response.setHeader(HeaderName.Reason, reason);
-  response.setHeader(HeaderName.Attempt, started ? 'started' : 'not-started');
+  response.setHeader(HeaderName.Attempt, hasAttemptStarted ? 'started' : 'not-started');
   if (retryAfterMilliseconds !== undefined) {
-    // The header has whole seconds; the body has the exact time.
+    // The header holds whole seconds, rounded up; the body has the exact time.
     response.setHeader(HeaderName.RetryAfter, Math.ceil(retryAfterMilliseconds / 1_000));
   }
-  response.statusCode = statusOf(outcome);
+  response.statusCode = httpStatusOf(outcome);
   const body = { detail, outcome: kind, reason, requestId, retryAfterMilliseconds };
   response.end(`${JSON.stringify(body)}\n`);
 }
--- a/packages/callers/src/outcome-status.ts
+++ b/packages/callers/src/outcome-status.ts
@@ -51,7 +51,7 @@
 };
 
 /** The HTTP status of a final outcome. */
-export function statusOf(outcome: CallOutcome): number {
+export function httpStatusOf(outcome: CallOutcome): number {
   switch (outcome.kind) {
     case 'answered':
       return outcome.status;
--- a/packages/callers/src/connection-fault.ts
+++ b/packages/callers/src/parse-error-response.ts
@@ -1,41 +1,45 @@
 import { HeaderName, RefusalReason } from '@peridotspring/core';
 import type { RefusedOutcome } from '@peridotspring/core';
 
-/** Parser faults that callers cause with contradicting lengths. */
-const lengthFaults: ReadonlySet<string> = new Set([
+/** Error codes of the HTTP parser for requests with conflicting body lengths. */
+const lengthErrorCodes: ReadonlySet<string> = new Set([
   'HPE_INVALID_CONTENT_LENGTH',
   'HPE_INVALID_TRANSFER_ENCODING',
   'HPE_UNEXPECTED_CONTENT_LENGTH',
 ]);
 
-/** A request that Node.js could not parse, with the bytes that answer it. */
-export interface ConnectionFault {
+/** The outcome of a request that Node.js could not parse, and the raw response to it. */
+export interface ParseErrorResponse {
   readonly outcome: RefusedOutcome;
   readonly detail: string;
   readonly response: string;
 }
 
-/** The answer to bytes that are no HTTP request at all. */
+/** The raw response to bytes that are not an HTTP request. */
 export const badRequestResponse =
   'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n';
 
-/** Names the fault of a request that could not be parsed; undefined when the bytes are no HTTP. */
-export function describeConnectionFault(
+/** Describes why a request could not be parsed; undefined when the bytes are not HTTP. */
+export function createParseErrorResponse(
   errorCode: string | undefined,
   headerBytes: number,
-): ConnectionFault | undefined {
+): ParseErrorResponse | undefined {
   if (errorCode === 'HPE_HEADER_OVERFLOW') {
     const detail = `the request head must be at most ${headerBytes} bytes`;
-    return fault(RefusalReason.HeadersTooLarge, detail, '431 Request Header Fields Too Large');
+    return createResponse(
+      RefusalReason.HeadersTooLarge,
+      detail,
+      '431 Request Header Fields Too Large',
+    );
   }
-  if (errorCode !== undefined && lengthFaults.has(errorCode)) {
+  if (errorCode !== undefined && lengthErrorCodes.has(errorCode)) {
     const detail = 'Content-Length and Transfer-Encoding must describe one length';
-    return fault(RefusalReason.ConflictingLengths, detail, '400 Bad Request');
+    return createResponse(RefusalReason.ConflictingLengths, detail, '400 Bad Request');
   }
   return undefined;
 }
 
-function fault(reason: RefusalReason, detail: string, status: string): ConnectionFault {
+function createResponse(reason: RefusalReason, detail: string, status: string): ParseErrorResponse {
   const outcome = { kind: 'refused-not-run', reason } as const;
   const body = `${JSON.stringify({ detail, outcome: outcome.kind, reason })}\n`;
   const head = [
--- a/packages/callers/src/request-body.ts
+++ b/packages/callers/src/request-body.ts
@@ -1,14 +1,14 @@
 import type { IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
 
-/** What became of reading a request's body. */
+/** The result of reading a request's body; `cut` means that the connection closed before the end of the body. */
 export type CollectedBody =
   | { readonly kind: 'whole'; readonly bytes: Uint8Array }
-  /** The body is longer than the limit; the stream gives all of it, from its first byte. */
+  /** The body is longer than the buffer limit; the stream yields all of it, from its first byte. */
   | { readonly kind: 'longer'; readonly stream: Readable }
   | { readonly kind: 'cut' };
 
-/** Whether the request announces a body. */
+/** Whether the request's headers announce a body. */
 export function announcesBody(request: IncomingMessage): boolean {
   const length = request.headers['content-length'];
   return (
@@ -17,15 +17,15 @@
 }
 
 /**
- * Reads a body of a stated length. Listeners take about half the time of the iterator below, and no
- * part of such a body can be left over for a stream.
+ * Reads a body with a known length within the buffer limit. Listeners take about half the time of the
+ * iterator below, and are enough here since no part of the body has to be left for a stream.
  */
-function collectStated(request: IncomingMessage): Promise<CollectedBody> {
+function collectBodyOfKnownLength(request: IncomingMessage): Promise<CollectedBody> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => {
       chunks.push(chunk);
-      // The parser has reached the end of a short body before the stream hands out its only chunk.
+      // For a short body, the parser has reached its end before the stream emits its only chunk.
       if (request.complete && request.readableLength === 0) {
         resolve({ bytes: Buffer.concat(chunks), kind: 'whole' });
       }
@@ -33,7 +33,7 @@
     request.on('end', () => {
       resolve(request.complete ? { bytes: Buffer.concat(chunks), kind: 'whole' } : { kind: 'cut' });
     });
-    // An error of the request is followed by 'close'.
+    // An error of the request is always followed by 'close'.
     request.on('error', () => undefined);
     request.on('close', () => {
       resolve({ kind: 'cut' });
@@ -41,19 +41,23 @@
   });
 }
 
-/** Reads a body up to the limit and leaves the rest unread; a stream of more than `longestBytes` fails. */
+/**
+ * Buffers a body up to `bufferLimitBytes`. A longer body is returned as a stream, which fails when it exceeds
+ * `maximumBytes`.
+ */
 export async function collectBody(
   request: IncomingMessage,
-  limitBytes: number,
-  longestBytes: number,
+  bufferLimitBytes: number,
+  maximumBytes: number,
 ): Promise<CollectedBody> {
-  const stated = request.headers['content-length'];
-  if (stated !== undefined && Number(stated) <= limitBytes) return collectStated(request);
-  // The iterator must not destroy the request when it is left early: that would close the connection
-  // before the caller can read an answer.
+  const contentLength = request.headers['content-length'];
+  if (contentLength !== undefined && Number(contentLength) <= bufferLimitBytes)
+    return collectBodyOfKnownLength(request);
+  // The iterator must not destroy the request when it is abandoned early: that would close the connection
+  // before the caller can read a response.
   const iterator = request.iterator({ destroyOnReturn: false }) as AsyncIterator<Buffer>;
   const chunks: Buffer[] = [];
-  let bytes = 0;
+  let byteCount = 0;
   try {
     for (;;) {
       const next = await iterator.next();
@@ -61,11 +65,11 @@
         return request.complete ? { bytes: Buffer.concat(chunks), kind: 'whole' } : { kind: 'cut' };
       }
       chunks.push(next.value);
-      bytes += next.value.length;
-      if (bytes > limitBytes) {
+      byteCount += next.value.length;
+      if (byteCount > bufferLimitBytes) {
         return {
           kind: 'longer',
-          stream: Readable.from(remaining(request, chunks, iterator, longestBytes)),
+          stream: Readable.from(streamBody(request, chunks, iterator, maximumBytes)),
         };
       }
     }
@@ -74,15 +78,15 @@
   }
 }
 
-async function* remaining(
+async function* streamBody(
   request: IncomingMessage,
   chunks: readonly Buffer[],
   iterator: AsyncIterator<Buffer>,
-  longestBytes: number,
+  maximumBytes: number,
 ): AsyncGenerator<Buffer> {
-  let bytes = 0;
+  let byteCount = 0;
   for (const chunk of chunks) {
-    bytes += chunk.length;
+    byteCount += chunk.length;
     yield chunk;
   }
   for (;;) {
@@ -90,13 +94,13 @@
     if (next.done === true) {
       break;
     }
-    bytes += next.value.length;
-    if (bytes > longestBytes) {
-      throw new Error('the request body is longer than the limit');
+    byteCount += next.value.length;
+    if (byteCount > maximumBytes) {
+      throw new Error('request body exceeds the limit');
     }
     yield next.value;
   }
   if (!request.complete) {
-    throw new Error('the caller cut the request body');
+    throw new Error('request body truncated by the caller');
   }
 }
--- a/packages/callers/src/request-message.ts
+++ b/packages/callers/src/request-message.ts
@@ -11,7 +11,7 @@
   readonly tenant: string;
 }
 
-/** The core's message for a request; without a body it is streamed. */
+/** Creates the core's message for a request; an undefined body is streamed. */
 export function createRequestMessage(
   { request, requestId, requestNumber, tenant }: ReceivedRequest,
   checked: AcceptedRequest,
@@ -25,7 +25,7 @@
     body,
     deadlineMilliseconds,
     digest: isKeyed && body !== undefined ? digestOf(method, path, body) : undefined,
-    // The upstream's client counts the hop, so the depth goes on as it came.
+    // The depth is unchanged here: the upstream client increments it when it sends the request to the upstream.
     head: { depth, headers, method, path, requestId, service, tenant },
     key,
     kind: 'caller-request',
--- a/packages/callers/src/routes/caller-connection.ts
+++ b/packages/callers/src/routes/caller-connection.ts
@@ -3,58 +3,58 @@
 
 import { announcesBody } from '../request-body.js';
 import { lingerOnClose } from './lingering-close.js';
-import { RequestLine } from './request-line.js';
+import { RequestPipeline } from './request-pipeline.js';
 
-/** Shorter waits come from the turns of the event loop and are not told. */
-const shortestWaitMilliseconds = 1;
+/** Shorter waits are caused by the event loop and are not reported. */
+const minimumReportedWaitMilliseconds = 1;
 
-/** One request as it was read from its connection. */
-export interface ReadRequest {
-  /** Unique in the life of the node. */
+/** A request whose head has been parsed. */
+export interface ParsedRequest {
+  /** Unique within one incarnation of the node. */
   readonly requestNumber: number;
   readonly requestId: string;
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
-  /** Monotonic time when its header had been read. */
-  readonly readAt: number;
+  /** Monotonic time at which the request's head had been read. */
+  readonly headerReadAt: number;
 }
 
-export interface LocalResponse {
+export interface ResponseContent {
   readonly status: number;
   readonly fields: Readonly<Record<string, string | readonly string[]>>;
   readonly body: Uint8Array;
 }
 
-/** How long a request waited for others that were sent before it on the same connection. */
-export interface ConnectionWait {
+/** How long a pipelined request waited for earlier requests on the same connection. */
+export interface PipelineWait {
   readonly requestId: string;
-  /** Before it was passed on. */
+  /** Time between the end of its head and its start. */
   readonly beforeStartMilliseconds: number;
-  /** With its answer, before that was written. */
+  /** Time between its answer and the writing of the response. */
   readonly withAnswerMilliseconds: number;
 }
 
 export interface CallerConnectionEvents {
-  /** The request is to be answered now. */
-  readonly begin: (request: ReadRequest) => void;
-  /** The caller went away; the request was begun and has no answer. */
-  readonly gone: (requestNumber: number) => void;
-  readonly waitedBehind: (wait: ConnectionWait) => void;
-  /** Requests were read and will never be begun, since the connection ends before them. */
-  readonly notPassedOn: (count: number) => void;
+  /** The request is to be processed now. */
+  readonly onRequestStart: (request: ParsedRequest) => void;
+  /** The caller disconnected; the request was started and has no answer. */
+  readonly onCallerGone: (requestNumber: number) => void;
+  readonly onPipelineWait: (wait: PipelineWait) => void;
+  /** Requests were read but will never be started, since the connection closes first. */
+  readonly onRequestsDiscarded: (count: number) => void;
 }
 
-interface OpenRequest extends ReadRequest {
+interface OpenRequest extends ParsedRequest {
   startedAt: number;
-  answeredAt: number;
+  respondedAt: number;
 }
 
-/** One connection of a caller. Owns its socket and writes the answers in the order of the requests. */
+/** The connection of a caller. Owns its socket and writes the responses in the order of the requests. */
 export class CallerConnection {
-  private readonly line = new RequestLine<LocalResponse>();
-  private readonly open = new Map<number, OpenRequest>();
-  /** Status for bytes that are no request; they end the connection. */
-  private faultStatus: number | undefined;
+  private readonly pipeline = new RequestPipeline<ResponseContent>();
+  private readonly openRequests = new Map<number, OpenRequest>();
+  /** Response status after a parse error, which closes the connection. */
+  private parseErrorStatus: number | undefined;
   private isAdvancing = false;
 
   public constructor(
@@ -64,59 +64,66 @@
   ) {
     lingerOnClose(socket);
     socket.once('close', () => {
-      this.closed();
+      this.handleClosed();
     });
   }
 
-  /** Requests that were begun and whose answer has not been written. */
+  /** Number of requests that were started and whose response has not been written. */
   public get inProgress(): number {
     let count = 0;
-    for (const { startedAt } of this.open.values()) if (startedAt !== Infinity) count += 1;
+    for (const { startedAt } of this.openRequests.values()) if (startedAt !== Infinity) count += 1;
     return count;
   }
 
-  public read(request: ReadRequest): void {
+  public handleRequest(request: ParsedRequest): void {
     const { message, requestNumber } = request;
-    // A message without a body that is read only after its answer would resume a paused connection.
+    // If a message without a body were consumed only after its response, that would resume a paused socket.
     if (!announcesBody(message)) message.resume();
-    if (!this.line.read(requestNumber)) {
-      this.events.notPassedOn(1);
-      this.pauseReading();
+    if (!this.pipeline.add(requestNumber)) {
+      this.events.onRequestsDiscarded(1);
+      this.pauseReadingIfNeeded();
       return;
     }
-    this.open.set(requestNumber, { ...request, answeredAt: Infinity, startedAt: Infinity });
-    if (this.line.isOverfull) this.end();
+    this.openRequests.set(requestNumber, {
+      ...request,
+      respondedAt: Infinity,
+      startedAt: Infinity,
+    });
+    if (this.pipeline.exceedsWaitingLimit) this.stopAccepting();
     this.advance();
-    if (this.line.hasWaiting) this.pauseReading();
+    if (this.pipeline.hasWaiting) this.pauseReadingIfNeeded();
   }
 
-  /** The answer to a request that was begun; it is written in its turn. */
-  public answer(requestNumber: number, response: LocalResponse): void {
-    const request = this.open.get(requestNumber);
+  /** Responds to a request that was started; the response is written after those of earlier requests. */
+  public respond(requestNumber: number, response: ResponseContent): void {
+    const request = this.openRequests.get(requestNumber);
     if (request === undefined) return;
-    if (!this.line.answered(requestNumber, response, response.body.length)) return;
-    request.answeredAt = this.clock();
+    if (!this.pipeline.setResponse(requestNumber, response, response.body.length)) return;
+    request.respondedAt = this.clock();
     this.advance();
   }
 
-  /** Answers what was begun; the last answer tells that the connection ends. */
-  public end(): void {
-    for (const [requestNumber, { startedAt }] of this.open) {
-      if (startedAt === Infinity) this.open.delete(requestNumber);
+  /** Closes the connection after the requests already started; the last response announces the close. */
+  public stopAccepting(): void {
+    for (const [requestNumber, { startedAt }] of this.openRequests) {
+      if (startedAt === Infinity) this.openRequests.delete(requestNumber);
     }
-    const left = this.line.end();
-    if (left > 0) this.events.notPassedOn(left);
+    const discardedCount = this.pipeline.stopAccepting();
+    if (discardedCount > 0) this.events.onRequestsDiscarded(discardedCount);
   }
 
-  /** The caller sent bytes that are no request, or none in time; a request that they cut gets the status. */
-  public unreadable(status: number): void {
-    if (this.faultStatus !== undefined) return;
-    this.faultStatus = status;
-    this.end();
-    this.pauseReading();
-    const incomplete = [...this.open.values()].find(({ message }) => !message.complete);
+  /**
+   * The caller sent bytes that are not a request, or no complete request in time. A request whose body is
+   * incomplete because of that gets the status.
+   */
+  public handleParseError(status: number): void {
+    if (this.parseErrorStatus !== undefined) return;
+    this.parseErrorStatus = status;
+    this.stopAccepting();
+    this.pauseReadingIfNeeded();
+    const incomplete = [...this.openRequests.values()].find(({ message }) => !message.complete);
     if (incomplete !== undefined) {
-      this.answer(incomplete.requestNumber, { body: Buffer.alloc(0), fields: {}, status });
+      this.respond(incomplete.requestNumber, { body: Buffer.alloc(0), fields: {}, status });
     }
     this.advance();
   }
@@ -124,73 +131,74 @@
   private advance(): void {
     if (this.isAdvancing) return;
     this.isAdvancing = true;
-    while (this.beginNext() || this.writeNext());
+    while (this.startNextRequest() || this.writeNextResponse());
     this.isAdvancing = false;
-    if (this.faultStatus !== undefined && this.line.isEmpty) this.refuseRest(this.faultStatus);
+    if (this.parseErrorStatus !== undefined && this.pipeline.isEmpty)
+      this.writeParseErrorResponse(this.parseErrorStatus);
   }
 
-  private beginNext(): boolean {
-    const requestNumber = this.line.start();
+  private startNextRequest(): boolean {
+    const requestNumber = this.pipeline.startNext();
     if (requestNumber === undefined) return false;
-    if (!this.line.hasWaiting) this.socket.resume();
-    const request = this.open.get(requestNumber);
+    if (!this.pipeline.hasWaiting) this.socket.resume();
+    const request = this.openRequests.get(requestNumber);
     if (request === undefined) return true;
     request.startedAt = this.clock();
-    this.events.begin(request);
+    this.events.onRequestStart(request);
     return true;
   }
 
-  private writeNext(): boolean {
-    const next = this.line.nextAnswer();
+  private writeNextResponse(): boolean {
+    const next = this.pipeline.takeNextResponse();
     if (next === undefined) return false;
-    const request = this.open.get(next.requestNumber);
+    const request = this.openRequests.get(next.requestNumber);
     if (request === undefined) return false;
-    this.tellWait(request);
+    this.reportWait(request);
     request.response.once('finish', () => {
-      this.open.delete(next.requestNumber);
-      this.line.written();
+      this.openRequests.delete(next.requestNumber);
+      this.pipeline.completeWrite();
       this.advance();
     });
-    // A body that nobody reads would be taken for the next request.
-    const isLast = next.isLast && this.faultStatus === undefined;
-    write(request.response, next.answer, isLast || !request.message.complete);
+    // The rest of an unread body would be parsed as the next request.
+    const isLast = next.isLast && this.parseErrorStatus === undefined;
+    writeResponse(request.response, next.response, isLast || !request.message.complete);
     return true;
   }
 
-  private tellWait({ answeredAt, readAt, requestId, startedAt }: OpenRequest): void {
-    const beforeStartMilliseconds = startedAt - readAt;
-    const withAnswerMilliseconds = this.clock() - answeredAt;
-    if (beforeStartMilliseconds + withAnswerMilliseconds < shortestWaitMilliseconds) return;
-    this.events.waitedBehind({ beforeStartMilliseconds, requestId, withAnswerMilliseconds });
+  private reportWait({ respondedAt, headerReadAt, requestId, startedAt }: OpenRequest): void {
+    const beforeStartMilliseconds = startedAt - headerReadAt;
+    const withAnswerMilliseconds = this.clock() - respondedAt;
+    if (beforeStartMilliseconds + withAnswerMilliseconds < minimumReportedWaitMilliseconds) return;
+    this.events.onPipelineWait({ beforeStartMilliseconds, requestId, withAnswerMilliseconds });
   }
 
-  /** Reading of a message's body resumes the socket in a later step of this turn. */
-  private pauseReading(): void {
+  /** Deferred, since reading a message's body resumes the socket later in this turn of the event loop. */
+  private pauseReadingIfNeeded(): void {
     process.nextTick(() => {
-      if (this.line.hasWaiting || this.faultStatus !== undefined) this.socket.pause();
+      if (this.pipeline.hasWaiting || this.parseErrorStatus !== undefined) this.socket.pause();
     });
   }
 
-  private refuseRest(status: number): void {
+  private writeParseErrorResponse(status: number): void {
     const { socket } = this;
-    // The last answer has ended the connection already; it lingers.
+    // The last response has already ended the connection, and the lingering close is in progress.
     if (!socket.writable) return;
     socket.write(`HTTP/1.1 ${status} Unreadable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
     socket.destroySoon();
   }
 
-  private closed(): void {
-    for (const requestNumber of this.line.unanswered) {
-      if (this.open.has(requestNumber)) this.events.gone(requestNumber);
+  private handleClosed(): void {
+    for (const requestNumber of this.pipeline.unansweredRequests) {
+      if (this.openRequests.has(requestNumber)) this.events.onCallerGone(requestNumber);
     }
-    this.open.clear();
-    this.line.end();
+    this.openRequests.clear();
+    this.pipeline.stopAccepting();
   }
 }
 
-function write(
+function writeResponse(
   response: ServerResponse,
-  { body, fields, status }: LocalResponse,
+  { body, fields, status }: ResponseContent,
   isLast: boolean,
 ): void {
   if (isLast) response.shouldKeepAlive = false;
--- a/packages/callers/src/routes/lingering-close.ts
+++ b/packages/callers/src/routes/lingering-close.ts
@@ -1,11 +1,12 @@
 import type { Socket } from 'node:net';
 
-/** The caller closes its side within a round trip once it has read that the connection ends. */
+/** Enough for a caller to close its side, which takes one round trip after it has read the last response. */
 const lingerMilliseconds = 1_000;
 
 /**
- * Lets a connection that ends by itself read and drop what its caller had sent meanwhile. To close it with
- * bytes unread would reset it, and the caller could lose the last answer (RFC 9112, section 9.6).
+ * Makes a connection that the server closes read and discard what the caller has sent in the meantime.
+ * Closing it with unread bytes would reset it, and the caller could lose the last response (RFC 9112,
+ * section 9.6).
  */
 export function lingerOnClose(socket: Socket): void {
   socket.destroySoon = () => {
--- a/packages/callers/src/routes/route-server.ts
+++ b/packages/callers/src/routes/route-server.ts
@@ -14,34 +14,37 @@
 
 import { announcesBody, collectBody } from '../request-body.js';
 import { CallerConnection } from './caller-connection.js';
-import type { ConnectionWait, LocalResponse, ReadRequest } from './caller-connection.js';
+import type { PipelineWait, ResponseContent, ParsedRequest } from './caller-connection.js';
 
-/** Largest header that is read, in bytes; Node.js fixes it at the start, before the configured limit is known. */
+/**
+ * Largest request head in bytes. Node.js sets this when the server is created, before the configured limit is
+ * known.
+ */
 const maximumHeaderBytes = 65_536;
-/** Retry-After for a node that has no configuration yet; it reads one within about a second. */
+/** Retry-After of a node without a configuration; it reads one within about a second of its start. */
 const unconfiguredRetryAfterMilliseconds = 300;
-/** Retry-After for a node that is about to end; its successor is up after about a second. */
+/** Retry-After of a node that is about to exit; its successor is up after about a second. */
 const stoppingRetryAfterMilliseconds = 500;
 const millisecondsPerSecond = 1_000;
-/** The caller closed its side in the middle of a request. */
-const leftInMiddleCode = 'HPE_INVALID_EOF_STATE';
+/** Error code of the HTTP parser when the caller closed its side in the middle of a request. */
+const unexpectedEndCode = 'HPE_INVALID_EOF_STATE';
 
-/** Names of the header fields that the server reads and writes, in lower case. */
+/** Header names that the server uses, in lower case. */
 export interface CallerHeaderNames {
   readonly requestId: string;
   readonly deadline: string;
-  /** Fields that callers may not set. */
+  /** Headers that callers may not set; they are removed from requests. */
   readonly reserved: ReadonlySet<string>;
 }
 
-/** What the server needs to know of the configuration in force. */
-export interface RoutingView {
+/** The parts of the active configuration that the server uses. */
+export interface RoutingConfiguration {
   readonly table: RouteTable;
   readonly limits: CallerLimits;
 }
 
-/** A request that got its answer, for logs and metrics. */
-export interface LocalAnswer {
+/** A request that this server answered itself, for logs and metrics. */
+export interface LocallyAnsweredRequest {
   readonly requestId: string;
   readonly status: number;
   readonly detail: string;
@@ -50,25 +53,25 @@
 export interface RouteServerOptions {
   readonly bindHost: string;
   readonly bindPort: number;
-  readonly names: CallerHeaderNames;
+  readonly headerNames: CallerHeaderNames;
   readonly clock: () => number;
-  readonly routing: () => RoutingView | undefined;
-  readonly deliver: (request: EntryRequest) => void;
-  readonly gone: (requestNumber: number) => void;
-  /** A request was answered here without a route. */
-  readonly answeredLocally: (answer: LocalAnswer) => void;
-  /** A request waited for others that its caller had sent before on the same connection. */
-  readonly waitedBehind: (wait: ConnectionWait) => void;
-  /** Requests that were read on a connection that ends before them; none of them was passed on. */
-  readonly notPassedOn: (count: number) => void;
+  readonly routing: () => RoutingConfiguration | undefined;
+  readonly onRequest: (request: EntryRequest) => void;
+  readonly onCallerGone: (requestNumber: number) => void;
+  /** A request was answered by this server itself, without being passed on. */
+  readonly onAnsweredLocally: (answer: LocallyAnsweredRequest) => void;
+  /** A pipelined request waited for earlier requests on the same connection. */
+  readonly onPipelineWait: (wait: PipelineWait) => void;
+  /** Requests were read on a connection that closes before they start; none of them was passed on. */
+  readonly onRequestsDiscarded: (count: number) => void;
 }
 
 /** The HTTP server for callers of routes. Owns their connections. */
 export class RouteServer {
   private readonly server: Server;
   private readonly connections = new Map<Duplex, CallerConnection>();
-  /** The connection of each request that was begun and has no answer. */
-  private readonly open = new Map<number, CallerConnection>();
+  /** The connection of each request that was started and has no answer, by request number. */
+  private readonly pendingRequests = new Map<number, CallerConnection>();
   private nextRequestNumber = 1;
   private isStopping = false;
   private isRefusing = false;
@@ -77,21 +80,21 @@
     this.server = createServer({ maxHeaderSize: maximumHeaderBytes, noDelay: true });
     this.server.requestTimeout = 0;
     this.server.on('connection', (socket: Socket) => {
-      this.accept(socket);
+      this.handleConnection(socket);
     });
     this.server.on('request', (message, response) => {
       const requestNumber = this.nextRequestNumber;
       this.nextRequestNumber += 1;
-      const requestId = single(message.headers[options.names.requestId]) ?? '';
-      const readAt = options.clock();
-      const request = { message, readAt, requestId, requestNumber, response };
-      this.connections.get(message.socket)?.read(request);
+      const requestId = firstValue(message.headers[options.headerNames.requestId]) ?? '';
+      const headerReadAt = options.clock();
+      const request = { message, headerReadAt, requestId, requestNumber, response };
+      this.connections.get(message.socket)?.handleRequest(request);
     });
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
       const connection = this.connections.get(socket);
-      const hasLeft = !socket.writable || error.code === leftInMiddleCode;
-      if (connection === undefined || hasLeft) socket.destroy();
-      else connection.unreadable(statusOfFault(error));
+      const hasDisconnected = !socket.writable || error.code === unexpectedEndCode;
+      if (connection === undefined || hasDisconnected) socket.destroy();
+      else connection.handleParseError(statusOfParseError(error));
     });
   }
 
@@ -110,7 +113,7 @@
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Applies the limits of a configuration that came into force. */
+  /** Applies the limits of a newly activated configuration. */
   public configure(limits: CallerLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMilliseconds;
     this.server.headersTimeout = limits.headerTimeoutMilliseconds + millisecondsPerSecond;
@@ -124,24 +127,24 @@
         return;
       }
       case 'refused': {
-        const fields = retryAfter(outcome.retryAfterMilliseconds);
-        this.write(requestNumber, { body: plainBody(outcome.cause), fields, status: 503 });
+        const fields = retryAfterHeader(outcome.retryAfterMilliseconds);
+        this.write(requestNumber, { body: textBody(outcome.cause), fields, status: 503 });
         return;
       }
       case 'unknown': {
         const status = outcome.cause === 'timeout' ? 504 : 502;
-        this.write(requestNumber, { body: plainBody(outcome.cause), fields: {}, status });
+        this.write(requestNumber, { body: textBody(outcome.cause), fields: {}, status });
       }
     }
   }
 
-  /** Requests that were begun are answered, and each connection ends with its last answer. */
+  /** Stops gracefully: started requests are answered, and each connection closes after its last response. */
   public stop(): void {
     this.isStopping = true;
-    for (const connection of this.connections.values()) connection.end();
+    for (const connection of this.connections.values()) connection.stopAccepting();
   }
 
-  /** Requests that come from now on are refused. */
+  /** Refuses all requests that start from now on. */
   public refuse(): void {
     this.isRefusing = true;
   }
@@ -153,102 +156,110 @@
       });
     });
     this.server.closeAllConnections();
-    // A connection that lingers has left the server's list.
+    // Connections in their lingering close are no longer in the server's own list.
     for (const socket of this.connections.keys()) socket.destroy();
     await closed;
   }
 
-  private accept(socket: Socket): void {
-    const { clock, gone, notPassedOn, waitedBehind } = this.options;
+  private handleConnection(socket: Socket): void {
+    const { clock, onCallerGone, onRequestsDiscarded, onPipelineWait } = this.options;
     const connection: CallerConnection = new CallerConnection(socket, clock, {
-      begin: (request) => {
-        this.open.set(request.requestNumber, connection);
-        void this.begin(request);
+      onRequestStart: (request) => {
+        this.pendingRequests.set(request.requestNumber, connection);
+        void this.startRequest(request);
       },
-      gone: (requestNumber) => {
-        if (this.open.delete(requestNumber)) gone(requestNumber);
+      onCallerGone: (requestNumber) => {
+        if (this.pendingRequests.delete(requestNumber)) onCallerGone(requestNumber);
       },
-      notPassedOn,
-      waitedBehind,
+      onRequestsDiscarded,
+      onPipelineWait,
     });
     this.connections.set(socket, connection);
     socket.once('close', () => {
       this.connections.delete(socket);
     });
-    if (this.isStopping) connection.end();
+    if (this.isStopping) connection.stopAccepting();
   }
 
-  private async begin(read: ReadRequest): Promise<void> {
-    const { message, requestNumber } = read;
+  private async startRequest(parsed: ParsedRequest): Promise<void> {
+    const { message, requestNumber } = parsed;
     if (this.isRefusing) {
-      this.answer(read, 503, 'this node stops', retryAfter(stoppingRetryAfterMilliseconds));
+      this.answerLocally(
+        parsed,
+        503,
+        'this node stops',
+        retryAfterHeader(stoppingRetryAfterMilliseconds),
+      );
       return;
     }
     const routing = this.options.routing();
     if (routing === undefined) {
-      const fields = retryAfter(unconfiguredRetryAfterMilliseconds);
-      this.answer(read, 503, 'no configuration yet', fields);
+      const fields = retryAfterHeader(unconfiguredRetryAfterMilliseconds);
+      this.answerLocally(parsed, 503, 'no configuration yet', fields);
       return;
     }
     const route = routing.table.match(message.headers.host ?? '', message.url ?? '/');
     if (route === undefined) {
-      this.answer(read, 404, 'no route has this host and path');
+      this.answerLocally(parsed, 404, 'no route has this host and path');
       return;
     }
-    const body = await this.readBodyInTime(read, route, routing.limits);
-    if (!this.open.has(requestNumber)) return;
+    const body = await this.readBodyBeforeDeadline(parsed, route, routing.limits);
+    if (!this.pendingRequests.has(requestNumber)) return;
     if (body === 'late') {
-      this.answer(read, 408, 'the body did not come in time');
+      this.answerLocally(parsed, 408, 'the body did not come in time');
       return;
     }
     if (body === 'too-large') {
-      this.answer(read, 413, 'the body is longer than the limit');
+      this.answerLocally(parsed, 413, 'the body is longer than the limit');
       return;
     }
     if (body === 'cut') {
-      this.open.delete(requestNumber);
+      this.pendingRequests.delete(requestNumber);
       message.destroy();
       return;
     }
-    this.deliver(read, route, body);
+    this.deliver(parsed, route, body);
   }
 
   private deliver(
-    { message, readAt, requestId, requestNumber }: ReadRequest,
+    { message, headerReadAt, requestId, requestNumber }: ParsedRequest,
     route: Route,
     body: Uint8Array | undefined,
   ): void {
-    const { names } = this.options;
-    this.options.deliver({
+    const { headerNames } = this.options;
+    this.options.onRequest({
       body,
-      callerDeadline: readAt + this.patienceOf(message, route),
-      headers: endToEndHeaders(message.rawHeaders, names.reserved),
+      callerDeadline: headerReadAt + this.timeoutMillisecondsOf(message, route),
+      headers: endToEndHeaders(message.rawHeaders, headerNames.reserved),
       method: message.method ?? 'GET',
       path: message.url ?? '/',
-      receivedAt: readAt,
+      receivedAt: headerReadAt,
       requestId,
       requestNumber,
       route,
     });
   }
 
-  /** Time from the request's head for which its caller waits. */
-  private patienceOf({ headers }: IncomingMessage, route: Route): number {
-    const stated = Number(single(headers[this.options.names.deadline]));
-    return Number.isFinite(stated) && stated > 0 ? stated : route.timeoutMilliseconds;
+  /** How long the caller waits for the answer, counted from the request's head. */
+  private timeoutMillisecondsOf({ headers }: IncomingMessage, route: Route): number {
+    const requestedMilliseconds = Number(firstValue(headers[this.options.headerNames.deadline]));
+    return Number.isFinite(requestedMilliseconds) && requestedMilliseconds > 0
+      ? requestedMilliseconds
+      : route.timeoutMilliseconds;
   }
 
-  /** A body may come a byte at a time without end; it is read for as long as its caller waits. */
-  private async readBodyInTime(
-    { message, readAt }: ReadRequest,
+  /** Reads a body until the caller's deadline, since a body may trickle in a byte at a time without end. */
+  private async readBodyBeforeDeadline(
+    { message, headerReadAt }: ParsedRequest,
     route: Route,
     limits: CallerLimits,
   ): Promise<Uint8Array | undefined | 'too-large' | 'cut' | 'late'> {
     if (!announcesBody(message)) return undefined;
-    const left = readAt + this.patienceOf(message, route) - this.options.clock();
+    const remainingMilliseconds =
+      headerReadAt + this.timeoutMillisecondsOf(message, route) - this.options.clock();
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<'late'>((resolve) => {
-      timer = setTimeout(resolve, left, 'late');
+      timer = setTimeout(resolve, remainingMilliseconds, 'late');
     });
     const body = await Promise.race([this.readBody(message, limits), late]);
     clearTimeout(timer);
@@ -271,26 +282,26 @@
     }
   }
 
-  private answer(
-    { requestId, requestNumber }: ReadRequest,
+  private answerLocally(
+    { requestId, requestNumber }: ParsedRequest,
     status: number,
     detail: string,
-    fields: LocalResponse['fields'] = {},
+    fields: ResponseContent['fields'] = {},
   ): void {
-    this.write(requestNumber, { body: plainBody(detail), fields, status });
-    this.options.answeredLocally({ detail, requestId, status });
+    this.write(requestNumber, { body: textBody(detail), fields, status });
+    this.options.onAnsweredLocally({ detail, requestId, status });
   }
 
-  private write(requestNumber: number, response: LocalResponse): void {
-    const connection = this.open.get(requestNumber);
+  private write(requestNumber: number, response: ResponseContent): void {
+    const connection = this.pendingRequests.get(requestNumber);
     if (connection === undefined) return;
-    this.open.delete(requestNumber);
-    connection.answer(requestNumber, response);
+    this.pendingRequests.delete(requestNumber);
+    connection.respond(requestNumber, response);
   }
 }
 
-/** Status for bytes that could not be read as a request. */
-function statusOfFault({ code }: NodeJS.ErrnoException): number {
+/** The response status for bytes that could not be parsed as a request. */
+function statusOfParseError({ code }: NodeJS.ErrnoException): number {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
       return 431;
@@ -301,14 +312,14 @@
   }
 }
 
-function retryAfter(milliseconds: number): Record<string, string> {
+function retryAfterHeader(milliseconds: number): Record<string, string> {
   return { 'retry-after': (milliseconds / millisecondsPerSecond).toFixed(3) };
 }
 
-function plainBody(detail: string): Uint8Array {
+function textBody(detail: string): Uint8Array {
   return Buffer.from(`${detail}\n`);
 }
 
-function single(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
--- a/packages/callers/tests/caller-server.test.ts
+++ b/packages/callers/tests/caller-server.test.ts
@@ -9,9 +9,9 @@
 import { TestServer } from './shared/test-server.js';
 
 const key = { 'idempotency-key': 'key-1' };
-const long = 'x'.repeat(5_000);
+const longBody = 'x'.repeat(5_000);
 
-/** Wrong input, with the status, the outcome, the reason and the words that name the field. */
+/** Invalid requests, with the expected status, outcome, reason, and text that names the invalid field. */
 const rejectedInputs: readonly (readonly [string, string, number, string, string, string])[] = [
   [
     'an unknown service',
@@ -31,7 +31,7 @@
   ],
   ['no service', rawRequest('GET', '/'), 404, 'refused-not-run', 'unknown-service', '/<service>/'],
   [
-    'a deadline in words',
+    'a deadline that is not a number',
     rawRequest('GET', '/provenance/a', { [HeaderName.Deadline]: 'soon' }),
     400,
     'refused-not-run',
@@ -55,7 +55,7 @@
     '1 to 60000',
   ],
   [
-    'a deadline that is wrong on a keyed request',
+    'an invalid deadline on a keyed request',
     rawRequest('POST', '/provenance/issue', { ...key, [HeaderName.Deadline]: '-1' }, 'a'),
     400,
     'outcome-unknown',
@@ -71,7 +71,7 @@
     '0 to 16',
   ],
   [
-    'a depth that is no number',
+    'a depth that is not a number',
     rawRequest('GET', '/provenance/a', { [HeaderName.Depth]: '1e1' }),
     400,
     'refused-not-run',
@@ -103,7 +103,7 @@
     'Idempotency-Key',
   ],
   [
-    'a key that stands twice',
+    'a repeated key',
     rawRequest(
       'POST',
       '/provenance/issue',
@@ -125,7 +125,7 @@
   ],
   [
     'an oversized keyed body',
-    rawRequest('POST', '/provenance/issue', key, long),
+    rawRequest('POST', '/provenance/issue', key, longBody),
     413,
     'refused-not-run',
     'body-too-large',
@@ -137,7 +137,7 @@
       ...key,
       'transfer-encoding': 'chunked',
       'content-length': '',
-    }).replace('content-length: \r\n', '') + `1388\r\n${long}\r\n0\r\n\r\n`,
+    }).replace('content-length: \r\n', '') + `1388\r\n${longBody}\r\n0\r\n\r\n`,
     413,
     'refused-not-run',
     'body-too-large',
@@ -172,7 +172,7 @@
   ],
   [
     'an oversized head',
-    rawRequest('GET', '/provenance/a', { filler: long }),
+    rawRequest('GET', '/provenance/a', { filler: longBody }),
     431,
     'refused-not-run',
     'headers-too-large',
@@ -206,8 +206,8 @@
   ],
 ];
 
-for (const [name, request, status, outcome, reason, words] of rejectedInputs) {
-  test(`${name} is refused at once, names the field and never reaches the core`, async () => {
+for (const [name, request, status, outcome, reason, expectedText] of rejectedInputs) {
+  test(`${name} is refused at once with the field's name and never reaches the core`, async () => {
     const server = new TestServer();
     await server.start();
     const answer = await exchange(server.port, request);
@@ -215,13 +215,13 @@
     assert.match(answer, new RegExp(`^HTTP/1.1 ${status} `));
     assert.match(answer.toLowerCase(), `${HeaderName.Outcome}: ${outcome}`);
     assert.match(answer.toLowerCase(), `${HeaderName.Reason}: ${reason}`);
-    assert.match(answer, words);
+    assert.match(answer, expectedText);
     assert.equal(server.requests, []);
     assert.is(server.finished.length, 1);
   });
 }
 
-test('a whole body reaches the core with its digest and the internal headers are dropped', async () => {
+test('a complete body reaches the core with its digest, and internal headers are removed', async () => {
   const server = new TestServer();
   await server.start();
   server.onRequest = ({ requestNumber }) => {
@@ -264,7 +264,7 @@
   assert.ok(answer.endsWith('\r\n\r\ndone'));
 });
 
-test('a long idempotent body is streamed whole, from its first byte', async () => {
+test('a long idempotent body is streamed completely, from its first byte', async () => {
   const server = new TestServer();
   await server.start();
   server.onRequest = ({ requestNumber, streamedBody }) => {
@@ -277,17 +277,17 @@
       requestNumber,
       streamedBody: true,
     });
-    const body = server.callers.requestBody(requestNumber);
-    const sink = server.callers.answerSink(requestNumber);
+    const body = server.callers.requestBodyStream(requestNumber);
+    const sink = server.callers.responseStream(requestNumber);
     assert.ok(body !== undefined && sink !== undefined);
     void pipeline(body, sink);
   };
-  const answer = await exchange(server.port, rawRequest('PUT', '/provenance/a', {}, long));
+  const answer = await exchange(server.port, rawRequest('PUT', '/provenance/a', {}, longBody));
   await server.callers.close();
-  assert.is(answer.split('x').length - 1, long.length);
+  assert.is(answer.split('x').length - 1, longBody.length);
 });
 
-test('an answer that is cut closes the connection, so that it never looks whole', async () => {
+test('a truncated response closes the connection, so that it never looks complete', async () => {
   const server = new TestServer();
   await server.start();
   server.onRequest = ({ requestNumber }) => {
@@ -299,7 +299,7 @@
       requestNumber,
       streamedBody: true,
     });
-    const sink = server.callers.answerSink(requestNumber);
+    const sink = server.callers.responseStream(requestNumber);
     const cut = Readable.from(
       (function* () {
         yield 'part';
@@ -313,13 +313,13 @@
   const answer = await exchange(server.port, rawRequest('GET', '/provenance/a'));
   await server.callers.close();
   assert.not.ok(answer.endsWith('0\r\n\r\n'));
-  // Without a report, operators would not see that callers get broken answers.
+  // Without this report, operators would not see that callers receive truncated responses.
   const [finished] = server.finished;
   const reason = finished?.outcome.kind === 'outcome-unknown' ? finished.outcome.reason : '';
   assert.is(reason, 'answer-cut');
 });
 
-test('a request body that the caller cuts never reaches the core', async () => {
+test('a request body truncated by the caller never reaches the core', async () => {
   const server = new TestServer();
   await server.start();
   const head = rawRequest('POST', '/provenance/issue', { ...key, 'content-length': '100' });
@@ -336,7 +336,7 @@
   assert.equal(server.requests, []);
 });
 
-test('a stopping node turns requests away at once and never says of a key that it did not run', async () => {
+test('a stopping node refuses requests at once and never reports a keyed request as not run', async () => {
   const server = new TestServer();
   await server.start();
   server.isStopping = true;
@@ -350,7 +350,7 @@
   assert.match(keyed, 'peridotspring-attempt: not-started');
 });
 
-test('more requests than the limit are turned away, so that memory stays bounded', async () => {
+test('requests above the limit are refused, so that memory stays bounded', async () => {
   const server = new TestServer({ requests: 1 });
   await server.start();
   const waiting = exchange(server.port, rawRequest('GET', '/provenance/a'));
@@ -363,7 +363,7 @@
   await waiting;
 });
 
-test('a caller that goes away is reported, so that its work can be cancelled', async () => {
+test('a caller that disconnects is reported, so that its work can be cancelled', async () => {
   const server = new TestServer();
   await server.start();
   const { connect } = await import('node:net');
--- a/packages/callers/tests/request-body.test.ts
+++ b/packages/callers/tests/request-body.test.ts
@@ -10,16 +10,16 @@
 const key = { 'idempotency-key': 'key-1' };
 const head = rawRequest('POST', '/provenance/issue', { ...key, 'content-length': '9' });
 
-/** How the packets of one request may be cut; the parser's state differs between them. */
+/** How a request may be split into packets; each split leaves the parser in a different state. */
 const splits: readonly (readonly [string, readonly string[]])[] = [
-  ['with the head', [`${head}one two 3`]],
-  ['behind the head', [head, 'one two 3']],
-  ['in parts', [`${head}one `, 'two ', '3']],
-  ['before the next request', [`${head}one two 3${head}one two 3`]],
+  ['in the packet of its head', [`${head}one two 3`]],
+  ['in one packet after the head', [head, 'one two 3']],
+  ['in several packets', [`${head}one `, 'two ', '3']],
+  ['in one packet with the next request', [`${head}one two 3${head}one two 3`]],
 ];
 
 for (const [name, packets] of splits) {
-  test(`a body that comes ${name} reaches the core whole, so that no part of it is run`, async () => {
+  test(`a body sent ${name} reaches the core whole, so that no partial body is processed`, async () => {
     const server = new TestServer();
     await server.start();
     let arrived = (): void => undefined;
--- a/packages/callers/tests/route-server.test.ts
+++ b/packages/callers/tests/route-server.test.ts
@@ -13,13 +13,13 @@
 const limits = callerLimits(2_000);
 const table = new RouteTable({ limits, routes: [lookupRoute], services: new Map(), version: 1 });
 
-interface Answer {
+interface TestResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
 }
 
-interface Call {
+interface TestRequest {
   readonly path?: string;
   readonly host?: string;
   readonly headers?: Record<string, string>;
@@ -27,9 +27,9 @@
   readonly method?: string;
 }
 
-class Bench {
+class TestRouteServer {
   public readonly delivered: EntryRequest[] = [];
-  public readonly gone: number[] = [];
+  public readonly goneRequests: number[] = [];
   public readonly agent = new Agent({ keepAlive: true });
   public isConfigured = true;
   public outcome: EntryOutcome | undefined = {
@@ -40,26 +40,32 @@
   };
   public port = 0;
   public readonly server = new RouteServer({
-    answeredLocally: () => undefined,
+    onAnsweredLocally: () => undefined,
     bindHost: '127.0.0.1',
     bindPort: 0,
     clock: () => 1_000,
-    deliver: (request) => {
+    onRequest: (request) => {
       this.delivered.push(request);
       if (this.outcome !== undefined) this.server.respond(request, this.outcome);
     },
-    gone: (requestNumber) => this.gone.push(requestNumber),
-    names: {
+    onCallerGone: (requestNumber) => this.goneRequests.push(requestNumber),
+    headerNames: {
       deadline: 'x-deadline',
       requestId: 'x-request-id',
       reserved: new Set(['x-caller', 'x-deadline', 'x-request-id']),
     },
-    notPassedOn: () => undefined,
+    onRequestsDiscarded: () => undefined,
     routing: () => (this.isConfigured ? { limits, table } : undefined),
-    waitedBehind: () => undefined,
+    onPipelineWait: () => undefined,
   });
 
-  public async call({ body, headers, host, method, path }: Call = {}): Promise<Answer> {
+  public async call({
+    body,
+    headers,
+    host,
+    method,
+    path,
+  }: TestRequest = {}): Promise<TestResponse> {
     return new Promise((resolve, reject) => {
       const request = httpRequest(
         {
@@ -85,23 +91,23 @@
   }
 }
 
-async function withServer(run: (bench: Bench) => Promise<void>): Promise<void> {
-  const bench = new Bench();
-  bench.port = await bench.server.listen();
-  bench.server.configure(limits);
+async function withServer(run: (testServer: TestRouteServer) => Promise<void>): Promise<void> {
+  const testServer = new TestRouteServer();
+  testServer.port = await testServer.server.listen();
+  testServer.server.configure(limits);
   try {
-    await run(bench);
+    await run(testServer);
   } finally {
-    bench.agent.destroy();
-    await bench.server.close();
+    testServer.agent.destroy();
+    await testServer.server.close();
   }
 }
 
-test('a request is delivered as it came, without what callers may not set', async () => {
-  await withServer(async (bench) => {
+test('a request is passed on unchanged, except that reserved headers are removed', async () => {
+  await withServer(async (testServer) => {
     const headers = { 'x-b': '2', 'x-caller': 'forged', 'x-deadline': '300' };
-    const answer = await bench.call({ body: 'data', headers });
-    const [request] = bench.delivered;
+    const answer = await testServer.call({ body: 'data', headers });
+    const [request] = testServer.delivered;
     assert.is(request?.path, '/a/b?c=1');
     assert.is(Buffer.from(request?.body ?? []).toString(), 'data');
     assert.is(request?.requestId, 'r1');
@@ -113,14 +119,14 @@
   });
 });
 
-test('a caller that states no deadline has the timeout of its route', async () => {
-  await withServer(async (bench) => {
-    await bench.call();
-    assert.is(bench.delivered[0]?.callerDeadline, 1_700);
+test('a request without a deadline header gets the timeout of its route', async () => {
+  await withServer(async (testServer) => {
+    await testServer.call();
+    assert.is(testServer.delivered[0]?.callerDeadline, 1_700);
   });
 });
 
-/** How a request ended, and what the caller sees. */
+/** An outcome, and the status and Retry-After header of its response. */
 const outcomes: readonly (readonly [EntryOutcome, number, string | undefined])[] = [
   [{ cause: 'overloaded', kind: 'refused', retryAfterMilliseconds: 250 }, 503, '0.250'],
   [{ cause: 'no-server', kind: 'refused', retryAfterMilliseconds: 1_000 }, 503, '1.000'],
@@ -129,33 +135,33 @@
 ];
 
 for (const [outcome, status, retryAfter] of outcomes) {
-  test(`${outcome.kind} ${'cause' in outcome ? outcome.cause : ''} is ${status}`, async () => {
-    await withServer(async (bench) => {
-      bench.outcome = outcome;
-      const answer = await bench.call();
+  test(`${outcome.kind} ${'cause' in outcome ? outcome.cause : ''} is answered with ${status}`, async () => {
+    await withServer(async (testServer) => {
+      testServer.outcome = outcome;
+      const answer = await testServer.call();
       assert.is(answer.status, status);
       assert.is(answer.headers['retry-after'], retryAfter);
     });
   });
 }
 
-test('without a configuration nobody can say that there is no route', async () => {
-  await withServer(async (bench) => {
-    bench.isConfigured = false;
-    assert.is((await bench.call()).status, 503);
-    bench.isConfigured = true;
-    assert.is((await bench.call({ path: '/other' })).status, 404);
-    assert.is((await bench.call({ host: 'other.example' })).status, 404);
-    assert.is(bench.delivered.length, 0);
+test('without a configuration the answer is 503, since a route may exist; with one, an unknown route gets 404', async () => {
+  await withServer(async (testServer) => {
+    testServer.isConfigured = false;
+    assert.is((await testServer.call()).status, 503);
+    testServer.isConfigured = true;
+    assert.is((await testServer.call({ path: '/other' })).status, 404);
+    assert.is((await testServer.call({ host: 'other.example' })).status, 404);
+    assert.is(testServer.delivered.length, 0);
   });
 });
 
-test('a body above the limit is refused and its connection closed', async () => {
-  await withServer(async (bench) => {
-    const answer = await bench.call({ body: 'x'.repeat(2_000) });
+test('a body above the limit is refused and the connection closed', async () => {
+  await withServer(async (testServer) => {
+    const answer = await testServer.call({ body: 'x'.repeat(2_000) });
     assert.is(answer.status, 413);
     assert.is(answer.headers.connection, 'close');
-    const chunked = await bench.call({
+    const chunked = await testServer.call({
       body: 'x'.repeat(2_000),
       headers: { 'transfer-encoding': 'chunked' },
     });
@@ -163,40 +169,42 @@
   });
 });
 
-test('a stopping server ends each connection with its answer, then refuses', async () => {
-  await withServer(async (bench) => {
-    bench.server.stop();
-    const answer = await bench.call();
+test('a stopping server closes each connection after its response, then refuses requests', async () => {
+  await withServer(async (testServer) => {
+    testServer.server.stop();
+    const answer = await testServer.call();
     assert.is(answer.status, 200);
     assert.is(answer.headers.connection, 'close');
-    bench.server.refuse();
-    assert.is((await bench.call()).status, 503);
-    assert.is(bench.delivered.length, 1);
+    testServer.server.refuse();
+    assert.is((await testServer.call()).status, 503);
+    assert.is(testServer.delivered.length, 1);
   });
 });
 
-test('a caller that goes away is reported once', async () => {
-  await withServer(async (bench) => {
-    bench.outcome = undefined;
-    const call = bench.call().catch(() => undefined);
-    while (bench.delivered.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
-    bench.agent.destroy();
+test('a caller that disconnects is reported once', async () => {
+  await withServer(async (testServer) => {
+    testServer.outcome = undefined;
+    const call = testServer.call().catch(() => undefined);
+    while (testServer.delivered.length === 0)
+      await new Promise((resolve) => setTimeout(resolve, 5));
+    testServer.agent.destroy();
     await call;
-    while (bench.gone.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
-    assert.equal(bench.gone, [bench.delivered[0]?.requestNumber]);
+    while (testServer.goneRequests.length === 0)
+      await new Promise((resolve) => setTimeout(resolve, 5));
+    assert.equal(testServer.goneRequests, [testServer.delivered[0]?.requestNumber]);
   });
 });
 
-test('idle connections are kept for as long as the configuration says', async () => {
-  await withServer(async (bench) => {
-    const answer = await bench.call();
+test('the keep-alive timeout of idle connections comes from the configuration', async () => {
+  await withServer(async (testServer) => {
+    const answer = await testServer.call();
     assert.is(answer.headers['keep-alive'], 'timeout=2');
   });
 });
 
-test('a body that comes a byte at a time is read for as long as its caller waits, and nothing is passed on', async () => {
-  await withServer(async (bench) => {
-    const socket = connect({ host: '127.0.0.1', port: bench.port });
+test('a body sent a byte at a time gets a 408 at the deadline, and the request is not passed on', async () => {
+  await withServer(async (testServer) => {
+    const socket = connect({ host: '127.0.0.1', port: testServer.port });
     let answer = '';
     socket.on('data', (chunk: Buffer) => (answer += chunk.toString()));
     socket.on('error', () => undefined);
@@ -209,8 +217,8 @@
     clearInterval(timer);
     assert.ok(answer.startsWith('HTTP/1.1 408 '), answer);
     assert.ok(performance.now() - startedAt < 2_000);
-    assert.equal(bench.delivered, []);
-    assert.is(bench.server.inProgress, 0);
+    assert.equal(testServer.delivered, []);
+    assert.is(testServer.server.inProgress, 0);
   });
 });
 
--- a/packages/callers/tests/shared/raw-http.ts
+++ b/packages/callers/tests/shared/raw-http.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { connect } from 'node:net';
 
-/** Sends raw bytes on a new connection and returns everything up to its end. */
+/** Sends raw bytes on a new connection and returns everything received until it closes. */
 export async function exchange(port: number, text: string | Buffer): Promise<string> {
   const socket = connect({ host: '127.0.0.1', port });
   socket.on('error', () => undefined);
@@ -12,7 +12,7 @@
   return Buffer.concat(chunks).toString();
 }
 
-/** A request that asks for the connection to be closed after its answer. */
+/** Builds a request that asks for the connection to be closed after the response. */
 export function rawRequest(
   method: string,
   path: string,
--- a/packages/callers/tests/shared/test-server.ts
+++ b/packages/callers/tests/shared/test-server.ts
@@ -14,7 +14,7 @@
   connections: 100,
   headerBytes: 4_096,
   headersTimeoutMilliseconds: 10_000,
-  heldBodyBytes: 1_024,
+  bufferedBodyBytes: 1_024,
   keyedBodyBytes: 2_048,
   requestTimeoutMilliseconds: 10_000,
   requests: 50,
@@ -53,7 +53,7 @@
   public isStopping = false;
   public port = 0;
   public readonly callers: CallerServer;
-  /** Called for each request, to answer it. */
+  /** Called for each request; tests set it to answer the request. */
   public onRequest: (request: CallerRequestMessage) => void = () => undefined;
 
   public constructor(limits: Partial<CallerLimits> = {}) {
@@ -69,7 +69,7 @@
           this.onRequest(message);
         }
       },
-      finished: (request) => this.finished.push(request),
+      onFinished: (request) => this.finished.push(request),
       isStopping: () => this.isStopping,
       limits: { ...testLimits, ...limits },
       requestIdPrefix: 'test',
--- a/packages/daemon/src/mesh/configuration-follower.ts
+++ b/packages/daemon/src/mesh/configuration-follower.ts
@@ -6,7 +6,7 @@
   WatchDuty,
 } from '@peridotspring/mesh-core';
 import type { ConfigurationInForce, MeshNode, RouteConfiguration } from '@peridotspring/mesh-core';
-import type { MeshHelloFrame, MeshLinks } from '@peridotspring/nodes';
+import type { MeshHelloFrame, MeshConnections } from '@peridotspring/nodes';
 
 import { MeshEvent } from './mesh-event.js';
 import type { DecodedConfiguration } from './platform-adapter.js';
@@ -15,7 +15,7 @@
 
 /** What follows the configuration uses to act on the world. */
 export interface ConfigurationPorts {
-  readonly links: Pick<MeshLinks, 'broadcast' | 'send'>;
+  readonly links: Pick<MeshConnections, 'broadcast' | 'send'>;
   readonly store: {
     watchConfiguration(isWatching: boolean): void;
     /** Another node has seen this era of the store. */
--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -1,4 +1,4 @@
-import type { RouteServer, RoutingView } from '@peridotspring/callers';
+import type { RouteServer, RoutingConfiguration } from '@peridotspring/callers';
 import type { RandomSource } from '@peridotspring/core';
 import {
   PlacementPolicy,
@@ -25,7 +25,7 @@
   RouteConfiguration,
   ServerLoad,
 } from '@peridotspring/mesh-core';
-import type { MeshGreeting, MeshHelloFrame, MeshLinks } from '@peridotspring/nodes';
+import type { MeshHelloPayload, MeshHelloFrame, MeshConnections } from '@peridotspring/nodes';
 import type { HealthAnswer, ServerMessage } from '@peridotspring/upstreams/mesh';
 
 import { ConfigurationFollower } from './configuration-follower.js';
@@ -70,7 +70,7 @@
 /** What the node uses to act on the world. */
 export interface MeshNodePorts {
   readonly callers: Pick<RouteServer, 'configure' | 'inProgress' | 'refuse' | 'respond' | 'stop'>;
-  readonly links: Pick<MeshLinks, 'broadcast' | 'dial' | 'send' | 'tick' | 'whenRead'>;
+  readonly links: Pick<MeshConnections, 'broadcast' | 'dial' | 'send' | 'tick' | 'whenRead'>;
   readonly server: {
     run(execution: Execution): void;
     abort(executionId: number): void;
@@ -200,7 +200,7 @@
     this.cancelTick?.();
   }
 
-  public get routing(): RoutingView | undefined {
+  public get routing(): RoutingConfiguration | undefined {
     const inForce = this.configuration.inForce;
     return inForce && { limits: inForce.configuration.limits, table: inForce.table };
   }
@@ -245,7 +245,7 @@
     };
   }
 
-  public get greeting(): MeshGreeting {
+  public get greeting(): MeshHelloPayload {
     return {
       configurationVersion: this.configuration.version,
       endedServers: this.endedServers.listRecent(this.options.clock()),
--- a/packages/daemon/src/mesh/mesh-wiring.ts
+++ b/packages/daemon/src/mesh/mesh-wiring.ts
@@ -1,7 +1,7 @@
 import { RouteServer } from '@peridotspring/callers';
 import { SeededRandomSource } from '@peridotspring/core';
 import type { MeshNode } from '@peridotspring/mesh-core';
-import { MeshLinks } from '@peridotspring/nodes';
+import { MeshConnections } from '@peridotspring/nodes';
 import { HttpStoreTransport, StoreSession } from '@peridotspring/platform/key-values';
 import { ReadinessServer, ReportServer, ServerClient } from '@peridotspring/upstreams/mesh';
 
@@ -198,24 +198,24 @@
   events: EventRecorder,
 ): RouteServer {
   return new RouteServer({
-    answeredLocally: ({ detail, requestId, status }) => {
+    onAnsweredLocally: ({ detail, requestId, status }) => {
       events.record(MeshEvent.RequestAnsweredLocally, { detail, request: requestId, status });
     },
     bindHost: settings.callerAddress.host,
     bindPort: settings.callerAddress.port,
     clock,
-    deliver: (request) => {
+    onRequest: (request) => {
       driver.callerRequest(request);
     },
-    gone: (requestNumber) => {
+    onCallerGone: (requestNumber) => {
       driver.callerGone(requestNumber);
     },
-    names: adapter.callerHeaders,
-    notPassedOn: (requests) => {
+    headerNames: adapter.callerHeaders,
+    onRequestsDiscarded: (requests) => {
       events.record(MeshEvent.RequestsNotPassedOn, { requests });
     },
     routing: () => driver.routing,
-    waitedBehind: ({ beforeStartMilliseconds, requestId, withAnswerMilliseconds }) => {
+    onPipelineWait: ({ beforeStartMilliseconds, requestId, withAnswerMilliseconds }) => {
       events.waitedBehind({
         beforeStart: Math.round(beforeStartMilliseconds),
         request: requestId,
@@ -230,26 +230,26 @@
   self: MeshNode,
   driver: MeshNodeDriver,
   clock: () => number,
-): MeshLinks {
-  return new MeshLinks({
+): MeshConnections {
+  return new MeshConnections({
     bindHost: settings.peerAddress.host,
     bindPort: settings.peerAddress.port,
     clock,
     events: {
-      connected: (hello) => {
+      onConnected: (hello) => {
         driver.connected(hello);
       },
-      dialFailed: (node, detail, isRefused) => {
+      onDialFailed: (node, detail, isRefused) => {
         driver.dialFailed(node, detail, isRefused);
       },
-      disconnected: (node, detail) => {
+      onDisconnected: (node, detail) => {
         driver.disconnected(node, detail);
       },
-      frame: (from, frame) => {
+      onFrame: (from, frame) => {
         driver.frame(from, frame);
       },
     },
-    greeting: () => driver.greeting,
+    helloPayload: () => driver.greeting,
     self,
   });
 }
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -235,7 +235,7 @@
       }
       driver.deliver(message);
     },
-    finished: (request: FinishedRequest) => {
+    onFinished: (request: FinishedRequest) => {
       parts.observer.finished(request);
     },
     isStopping: () => core.isStopping,
@@ -244,7 +244,7 @@
       connections: settings.callerConnections,
       headerBytes: settings.callerHeaderBytes,
       headersTimeoutMilliseconds,
-      heldBodyBytes,
+      bufferedBodyBytes: heldBodyBytes,
       keyedBodyBytes,
       requests: settings.callerRequests,
       requestTimeoutMilliseconds,
@@ -252,8 +252,8 @@
     requestIdPrefix: requestIdPrefix(identity),
   });
   const relay = new BodyRelay({
-    callerBody: (requestNumber) => callers.requestBody(requestNumber),
-    callerSink: (requestNumber) => callers.answerSink(requestNumber),
+    callerBody: (requestNumber) => callers.requestBodyStream(requestNumber),
+    callerSink: (requestNumber) => callers.responseStream(requestNumber),
     finished: (message) => {
       driver.deliver(message);
     },
@@ -289,23 +289,23 @@
     bindPort: settings.peerBindAddress.port,
     clock: () => performance.now(),
     events: {
-      drained: () => undefined,
-      frame: (from, frame) => {
+      onDrained: () => undefined,
+      onFrame: (from, frame) => {
         driver().frame(from, frame);
       },
-      lost: (server, reason, detail) => {
+      onConnectionLost: (server, reason, detail) => {
         // The end of an unused connection is no fault; a busy fleet has many of them.
         const level = reason === 'idle' ? 'debug' : 'info';
         log[level](LogEvent.PeerLost, { detail, reason, server });
         parts.gatherer.peerLost(server);
         driver().peerLost(server);
       },
-      rejected: (reason, detail) => {
+      onConnectionRejected: (reason, detail) => {
         log.info(LogEvent.PeerRejected, { detail, reason });
         const labels = { reason };
         parts.metrics.count({ by: 1, counter: 'peer_connections_rejected', kind: 'count', labels });
       },
-      unsent: (server, frames) => {
+      onUnsent: (server, frames) => {
         driver().unsent(server, frames);
       },
     },
--- a/packages/nodes/src/dial-backoff.ts
+++ b/packages/nodes/src/dial-backoff.ts
@@ -1,26 +1,29 @@
-const firstDelayMilliseconds = 50;
-const largestDelayMilliseconds = 5_000;
+const initialDelayMilliseconds = 50;
+const maximumDelayMilliseconds = 5_000;
 
-/** Jittered exponential back-off between attempts to connect to one node. */
+/** Exponential back-off with jitter between attempts to connect to one node. */
 export class DialBackoff {
-  private failures = 0;
-  private notBefore = 0;
+  private consecutiveFailures = 0;
+  private nextAttemptAt = 0;
 
   public constructor(private readonly random: () => number) {}
 
-  public isDue(now: number): boolean {
-    return now >= this.notBefore;
+  public canDial(now: number): boolean {
+    return now >= this.nextAttemptAt;
   }
 
-  public failed(now: number): void {
-    const ceiling = Math.min(largestDelayMilliseconds, firstDelayMilliseconds * 2 ** this.failures);
-    this.failures += 1;
-    // Between half and all of the delay, so that nodes that lost the same peer don't return together.
-    this.notBefore = now + ceiling * (0.5 + this.random() / 2);
+  public recordFailure(now: number): void {
+    const maximumWait = Math.min(
+      maximumDelayMilliseconds,
+      initialDelayMilliseconds * 2 ** this.consecutiveFailures,
+    );
+    this.consecutiveFailures += 1;
+    // Between half and all of the delay, so that nodes that lost the same peer don't reconnect at the same time.
+    this.nextAttemptAt = now + maximumWait * (0.5 + this.random() / 2);
   }
 
-  public succeeded(): void {
-    this.failures = 0;
-    this.notBefore = 0;
+  public recordSuccess(): void {
+    this.consecutiveFailures = 0;
+    this.nextAttemptAt = 0;
   }
 }
--- a/packages/nodes/src/field-numbers.ts
+++ b/packages/nodes/src/field-numbers.ts
@@ -1,7 +1,7 @@
 /**
- * Field names that frames carry as numbers, in the order of their numbers. Names made up half of the
- * bytes of a ping or a lease's confirmation. New names go to the end: a number that changes its meaning
- * needs a new protocol version. Fields that are not listed travel by name.
+ * Field names that are encoded as numbers, in the order of their numbers. Encoded as text, the names made up
+ * half of the bytes of a ping or a lease confirmation. Append new names at the end only: changing the meaning
+ * of a number requires a new protocol version. Fields that are not listed are encoded by name.
  */
 const fieldNames = [
   'kind',
@@ -92,7 +92,7 @@
   'signature',
 ] as const;
 
-/** Number of each listed field name. */
+/** The number of each field name in the list. */
 export const fieldNumbers: Readonly<Record<string, number>> = Object.fromEntries(
   fieldNames.map((name, number) => [name, number]),
 );
--- a/packages/nodes/src/frame-codec.ts
+++ b/packages/nodes/src/frame-codec.ts
@@ -2,37 +2,37 @@
 
 import { fieldNumbers } from './field-numbers.js';
 import { describeFrameFault } from './frame-shapes.js';
-import { FrameFault, LengthPrefixedDecoder, prefixLength } from './length-prefixed.js';
-import type { Decoded } from './length-prefixed.js';
+import { FrameFault, LengthPrefixedDecoder, addLengthPrefix } from './length-prefixed.js';
+import type { DecodeResult } from './length-prefixed.js';
 import type { WireFrame } from './wire-frames.js';
 
 export { FrameFault } from './length-prefixed.js';
 
-/** Largest encoded frame in bytes: a keyed body of 1 MiB and its head. */
+/** Largest encoded frame in bytes: a keyed request with a body of 1 MiB and its header fields. */
 export const maximumFrameBytes = 1_310_720;
 
-// Records would make a frame depend on earlier ones, so a decoder could not start afresh.
-const options = { tagUint8Array: false, useRecords: false };
-const encoder = new Encoder({ ...options, keyMap: { ...fieldNumbers } });
-/** A node of any version has to be able to read which version the other one speaks. */
-const greetingEncoder = new Encoder(options);
+// Records would make a frame depend on earlier frames, so that a new decoder could not decode it.
+const encoderOptions = { tagUint8Array: false, useRecords: false };
+const encoder = new Encoder({ ...encoderOptions, keyMap: { ...fieldNumbers } });
+/** Encodes hello frames with field names, so that a node of any version can read the protocol version. */
+const helloEncoder = new Encoder(encoderOptions);
 
-/** Encodes a frame with its length in front. */
+/** Encodes a frame and adds its length in front. */
 export function encodeFrame(frame: WireFrame): Buffer {
-  const encoded = (frame.kind === 'hello' ? greetingEncoder : encoder).encode(frame);
-  return prefixLength(encoded);
+  const encoded = (frame.kind === 'hello' ? helloEncoder : encoder).encode(frame);
+  return addLengthPrefix(encoded);
 }
 
-export type DecodedFrame = Decoded<WireFrame>;
+export type FrameDecodeResult = DecodeResult<WireFrame>;
 
-/** Splits a byte stream into the frames of this protocol. */
+/** Splits the byte stream of a connection between nodes into frames. */
 export class FrameDecoder extends LengthPrefixedDecoder<WireFrame> {
   public constructor() {
     super(maximumFrameBytes, decodeFrame);
   }
 }
 
-function decodeFrame(bytes: Buffer): DecodedFrame {
+function decodeFrame(bytes: Buffer): FrameDecodeResult {
   let value: unknown;
   try {
     value = encoder.decode(bytes);
--- a/packages/nodes/src/frame-shapes.ts
+++ b/packages/nodes/src/frame-shapes.ts
@@ -1,14 +1,14 @@
 import type { WireFrame } from './wire-frames.js';
 
-type FieldCheck = 'array' | 'boolean' | 'bytes' | 'number' | 'object' | 'string';
+type FieldType = 'array' | 'boolean' | 'bytes' | 'number' | 'object' | 'string';
 
-/** Only fields that the frame has can be checked, so a frame that changes can't keep an old shape. */
-type FrameShape<Frame> = { readonly [Field in keyof Frame]?: FieldCheck };
+/** Allows only fields of the frame type, so that a shape that lists a removed field doesn't compile. */
+type FrameShape<Frame> = { readonly [Field in keyof Frame]?: FieldType };
 
-const loadedCall = { callId: 'number', load: 'object' } as const;
-const bodyFrame = { callId: 'number', direction: 'string' } as const;
+const callFieldsWithLoad = { callId: 'number', load: 'object' } as const;
+const bodyFields = { callId: 'number', direction: 'string' } as const;
 
-/** The fields that the receiver of each frame relies on; optional ones are not listed. */
+/** Required fields of each frame kind and their types; optional fields are not listed. */
 const frameShapes: {
   readonly [Kind in WireFrame['kind']]: FrameShape<Extract<WireFrame, { readonly kind: Kind }>>;
 } = {
@@ -18,12 +18,12 @@
     server: 'string',
     updates: 'array',
   },
-  answer: { ...loadedCall, headers: 'object', status: 'number', streamedBody: 'boolean' },
-  'body-chunk': { ...bodyFrame, bytes: 'bytes' },
-  'body-credit': { ...bodyFrame, bytes: 'number' },
-  'body-cut': bodyFrame,
-  'body-end': bodyFrame,
-  'body-stop': bodyFrame,
+  answer: { ...callFieldsWithLoad, headers: 'object', status: 'number', streamedBody: 'boolean' },
+  'body-chunk': { ...bodyFields, bytes: 'bytes' },
+  'body-credit': { ...bodyFields, bytes: 'number' },
+  'body-cut': bodyFields,
+  'body-end': bodyFields,
+  'body-stop': bodyFields,
   'configuration-announcement': { revision: 'number' },
   'configuration-pull': { haveRevision: 'number' },
   'configuration-push': {
@@ -76,7 +76,7 @@
   },
   'request-admitted': { callId: 'number' },
   'request-cancel': { callId: 'number' },
-  'request-failed': { ...loadedCall, detail: 'string' },
+  'request-failed': { ...callFieldsWithLoad, detail: 'string' },
   'request-refused': { callId: 'number', refusal: 'object' },
   'request-start': {
     callId: 'number',
@@ -87,8 +87,8 @@
   },
 };
 
-function matches(value: unknown, check: FieldCheck): boolean {
-  switch (check) {
+function hasType(value: unknown, type: FieldType): boolean {
+  switch (type) {
     case 'array':
       return Array.isArray(value);
     case 'bytes':
@@ -99,11 +99,11 @@
       return typeof value === 'number' && !Number.isNaN(value);
     case 'boolean':
     case 'string':
-      return typeof value === check;
+      return typeof value === type;
   }
 }
 
-/** Says what is wrong with a decoded value, or nothing when it is a frame. */
+/** Describes why a decoded value is not a valid frame; undefined if it is one. */
 export function describeFrameFault(value: unknown): string | undefined {
   if (typeof value !== 'object' || value === null || !('kind' in value)) {
     return 'frame is not a map with a kind';
@@ -112,11 +112,11 @@
   if (typeof kind !== 'string' || !Object.hasOwn(frameShapes, kind)) {
     return `unknown frame kind ${JSON.stringify(kind)}`;
   }
-  const shape: Readonly<Record<string, FieldCheck>> = frameShapes[kind as WireFrame['kind']];
+  const shape: Readonly<Record<string, FieldType>> = frameShapes[kind as WireFrame['kind']];
   const fields = value as Readonly<Record<string, unknown>>;
-  for (const [field, check] of Object.entries(shape)) {
-    if (!matches(fields[field], check)) {
-      return `field ${field} of frame ${kind} is not of type ${check}`;
+  for (const [field, type] of Object.entries(shape)) {
+    if (!hasType(fields[field], type)) {
+      return `field ${field} of frame ${kind} is not of type ${type}`;
     }
   }
   return undefined;
--- a/packages/nodes/src/index.ts
+++ b/packages/nodes/src/index.ts
@@ -1,10 +1,10 @@
 export { encodeFrame, FrameDecoder, FrameFault, maximumFrameBytes } from './frame-codec.js';
-export type { DecodedFrame } from './frame-codec.js';
+export type { FrameDecodeResult } from './frame-codec.js';
 export { NodeConnections, SendResult } from './node-connections.js';
 export type { NodeConnectionsEvents, NodeConnectionsOptions } from './node-connections.js';
 export type { PeerSecrets } from './peer-authentication.js';
 export { CloseReason } from './peer-connection.js';
 export { protocolVersion } from './wire-frames.js';
-export { MeshLinks } from './mesh/mesh-links.js';
-export type { MeshLinksEvents, MeshLinksOptions } from './mesh/mesh-links.js';
-export type { MeshGreeting, MeshHelloFrame } from './mesh/mesh-frame-codec.js';
+export { MeshConnections } from './mesh/mesh-connections.js';
+export type { MeshConnectionsEvents, MeshConnectionsOptions } from './mesh/mesh-connections.js';
+export type { MeshHelloPayload, MeshHelloFrame } from './mesh/mesh-frame-codec.js';
--- /dev/null
+++ b/packages/nodes/src/mesh/mesh-connections.ts
@@ -0,0 +1,197 @@
+import { connect, createServer } from 'node:net';
+import type { Server, Socket } from 'node:net';
+
+import type { MeshFrame, MeshNode } from '@peridotspring/mesh-core';
+
+import { meshProtocolVersion } from './mesh-frame-codec.js';
+import type { MeshHelloPayload, MeshHelloFrame } from './mesh-frame-codec.js';
+import { MeshConnection } from './mesh-connection.js';
+
+/** Error code of a refused connection: no process listens at the address. */
+const connectionRefusedCode = 'ECONNREFUSED';
+
+export interface MeshConnectionsEvents {
+  /** A connection to a node is established; frames sent on an earlier connection to it may be lost. */
+  readonly onConnected: (hello: MeshHelloFrame) => void;
+  readonly onDisconnected: (node: MeshNode, detail: string) => void;
+  /** A dial failed; `isRefused` means that the dialed node no longer runs at its address. */
+  readonly onDialFailed: (node: MeshNode, detail: string, isRefused: boolean) => void;
+  readonly onFrame: (from: MeshNode, frame: MeshFrame) => void;
+}
+
+export interface MeshConnectionsOptions {
+  readonly self: MeshNode;
+  readonly bindHost: string;
+  readonly bindPort: number;
+  readonly clock: () => number;
+  /** Current values for the hello frame of a new connection. */
+  readonly helloPayload: () => MeshHelloPayload;
+  readonly events: MeshConnectionsEvents;
+}
+
+/** The connections of this node to other nodes: at most one established connection to each. */
+export class MeshConnections {
+  private readonly server: Server;
+  private readonly connections = new Map<string, MeshConnection>();
+  private readonly handshaking = new Set<MeshConnection>();
+
+  public constructor(private readonly options: MeshConnectionsOptions) {
+    this.server = createServer((socket) => {
+      this.open(socket, undefined);
+    });
+  }
+
+  public async listen(): Promise<void> {
+    await new Promise<void>((resolve, reject) => {
+      this.server.once('error', reject);
+      this.server.listen(this.options.bindPort, this.options.bindHost, resolve);
+    });
+  }
+
+  public dial(node: MeshNode): void {
+    const separator = node.address.lastIndexOf(':');
+    const port = Number(node.address.slice(separator + 1));
+    if (separator <= 0 || !Number.isInteger(port) || port < 1 || port > 65_535) {
+      process.nextTick(() => {
+        this.options.events.onDialFailed(
+          node,
+          `${node.address} is not a valid host:port address`,
+          false,
+        );
+      });
+      return;
+    }
+    this.open(connect({ host: node.address.slice(0, separator), port }), node);
+  }
+
+  /** False if there is no connection to the node. */
+  public send(name: string, frame: MeshFrame): boolean {
+    const connection = this.connections.get(name);
+    if (connection === undefined) return false;
+    connection.send(frame);
+    if (frame.kind === 'start') connection.pendingAnswers += 1;
+    else if (frame.kind === 'cancel')
+      connection.pendingAnswers = Math.max(0, connection.pendingAnswers - 1);
+    return true;
+  }
+
+  /**
+   * Sends a frame to every connected node, and also on connections that are still in the handshake: their
+   * hello has already been sent and holds the state from before this frame.
+   */
+  public broadcast(frame: MeshFrame): void {
+    for (const connection of this.connections.values()) connection.send(frame);
+    for (const connection of this.handshaking) connection.send(frame);
+  }
+
+  /** Resolves once every connected node has read all frames broadcast so far, or its connection has closed. */
+  public async whenRead(): Promise<void> {
+    const reads = [...this.connections.values()].map(
+      (connection) =>
+        new Promise<void>((resolve) => {
+          connection.callWhenRead(resolve);
+        }),
+    );
+    await Promise.all(reads);
+  }
+
+  public tick(now: number): void {
+    for (const connection of [...this.handshaking]) connection.tick(now);
+    for (const connection of [...this.connections.values()]) connection.tick(now);
+  }
+
+  /** Stops listening, flushes written frames and closes all connections. */
+  public close(): void {
+    this.server.close();
+    for (const connection of this.handshaking) connection.close('this node is stopping');
+    for (const connection of this.connections.values()) connection.end();
+    this.connections.clear();
+  }
+
+  private open(socket: Socket, dialedNode: MeshNode | undefined): void {
+    const { clock, events, helloPayload, self } = this.options;
+    const connection = new MeshConnection(socket, dialedNode, clock, {
+      onClosed: (closed, detail, code) => {
+        this.handleClosed(closed, detail, code);
+      },
+      onFrame: (from, frame) => {
+        if (from.peer === undefined) return;
+        if (frame.kind === 'answered' || frame.kind === 'declined' || frame.kind === 'failed') {
+          from.pendingAnswers = Math.max(0, from.pendingAnswers - 1);
+        }
+        events.onFrame(from.peer, frame);
+      },
+      onHello: (source, hello) => {
+        this.handleHello(source, hello);
+      },
+    });
+    this.handshaking.add(connection);
+    connection.send({
+      ...helloPayload(),
+      kind: 'hello',
+      node: self,
+      protocol: meshProtocolVersion,
+    });
+  }
+
+  private handleHello(connection: MeshConnection, hello: MeshHelloFrame): void {
+    const { node } = hello;
+    if (!this.handshaking.delete(connection)) {
+      connection.close('received a second hello');
+      return;
+    }
+    if (node.name === this.options.self.name) {
+      connection.close('this node connected to itself');
+      return;
+    }
+    const { dialedNode } = connection;
+    if (dialedNode !== undefined && dialedNode.name !== node.name) {
+      this.options.events.onDialFailed(dialedNode, `found node ${node.name} at this address`, true);
+    }
+    const existing = this.connections.get(node.name);
+    if (existing !== undefined) {
+      if (this.isExistingPreferred(existing, connection, node)) {
+        connection.close('another connection to this node is kept');
+        return;
+      }
+      this.connections.delete(node.name);
+      existing.close('replaced by another connection');
+      this.options.events.onDisconnected(node, 'replaced by another connection');
+    }
+    this.connections.set(node.name, connection);
+    this.options.events.onConnected(hello);
+  }
+
+  /**
+   * When two nodes dial each other at the same time, both keep the connection opened by the node whose name
+   * sorts first, so that they choose the same one. A newer incarnation of the other node always wins.
+   */
+  private isExistingPreferred(
+    existing: MeshConnection,
+    added: MeshConnection,
+    node: MeshNode,
+  ): boolean {
+    if (existing.peer?.boot !== node.boot) return (existing.peer?.boot ?? 0) > node.boot;
+    const isDialedByLowerName = (connection: MeshConnection): boolean =>
+      (connection.dialedNode !== undefined) === this.options.self.name < node.name;
+    return isDialedByLowerName(existing) && !isDialedByLowerName(added);
+  }
+
+  private handleClosed(connection: MeshConnection, detail: string, code: string | undefined): void {
+    if (this.handshaking.delete(connection)) {
+      if (connection.dialedNode !== undefined) {
+        this.options.events.onDialFailed(
+          connection.dialedNode,
+          detail,
+          code === connectionRefusedCode,
+        );
+      }
+      return;
+    }
+    const { peer } = connection;
+    if (peer === undefined) return;
+    if (this.connections.get(peer.name) !== connection) return;
+    this.connections.delete(peer.name);
+    this.options.events.onDisconnected(peer, detail);
+  }
+}
--- a/packages/nodes/src/mesh/mesh-frame-codec.ts
+++ b/packages/nodes/src/mesh/mesh-frame-codec.ts
@@ -10,33 +10,33 @@
   EndedNodeServer,
 } from '@peridotspring/mesh-core';
 
-import { FrameFault, LengthPrefixedDecoder, prefixLength } from '../length-prefixed.js';
-import type { Decoded } from '../length-prefixed.js';
+import { FrameFault, LengthPrefixedDecoder, addLengthPrefix } from '../length-prefixed.js';
+import type { DecodeResult } from '../length-prefixed.js';
 
-/** Raised when frames change in a way that older nodes can't read. */
+/** Increment when frames change in a way that older nodes can't decode. */
 export const meshProtocolVersion = 2;
 
-/** The first frame in each direction. */
+/** The first frame that each side sends on a connection. */
 export interface MeshHelloFrame {
   readonly kind: 'hello';
   readonly protocol: number;
   readonly node: MeshNode;
   readonly load: GateLoad;
   readonly configurationVersion: number;
-  /** Whether the store answers the sender. */
+  /** Whether the sender can reach the key-value store. */
   readonly reachesStore: boolean;
-  /** Other nodes that the sender knows of; a node that knows far fewer is told of the rest. */
+  /** Number of other nodes that the sender knows; a receiver that knows far more announces them to it. */
   readonly knownNodes: number;
-  /** Servers that drained or left lately; a node that starts again may not know of its own. */
+  /** Servers that recently drained or left; a restarted node may not know this of its own server. */
   readonly endedServers?: readonly EndedNodeServer[] | undefined;
-  /** The newest era of the store that the sender has seen. */
+  /** The newest store era that the sender has observed. */
   readonly storeEra?: number | undefined;
 }
 
-/** What the first frame tells besides the node itself. */
-export type MeshGreeting = Omit<MeshHelloFrame, 'kind' | 'node' | 'protocol'>;
+/** The fields of the hello frame other than the node's identity and the protocol version. */
+export type MeshHelloPayload = Omit<MeshHelloFrame, 'kind' | 'node' | 'protocol'>;
 
-/** Asks whether the other side is alive. */
+/** Liveness check; the receiver answers with a pong. */
 export interface PingFrame {
   readonly kind: 'ping';
 }
@@ -47,14 +47,14 @@
 
 export type MeshWireFrame = MeshHelloFrame | PingFrame | PongFrame | MeshFrame;
 
-/** Largest encoded frame in bytes: a body of the largest configured size and its head. */
+/** Largest encoded frame in bytes: a body of the largest configurable size and its header fields. */
 const maximumFrameBytes = 68_157_440;
-/** The first frame names a node and a few servers; whoever sent none may be anybody. */
+/** Limit until the hello, which holds one node and a few servers, has identified the sender. */
 const maximumHelloBytes = 65_536;
-/** The store holds values of up to 1 MiB; compressed content must not grow without end. */
+/** Bounds the memory that compressed content can take. Values in the store have at most 1 MiB. */
 const maximumConfigurationBytes = 16_777_216;
 
-/** Field names that frames carry as numbers, in the order of their numbers. New names go to the end. */
+/** Field names that are encoded as numbers, in the order of their numbers. Append new names at the end only. */
 const fieldNames = [
   'kind',
   'callId',
@@ -96,16 +96,16 @@
 
 type FieldType = 'array' | 'boolean' | 'bytes' | 'number' | 'object' | 'string';
 
-const callField = { callId: 'number' } as const;
-const loadedCall = { ...callField, load: 'object' } as const;
+const callFields = { callId: 'number' } as const;
+const callFieldsWithLoad = { ...callFields, load: 'object' } as const;
 
-/** The fields that the receiver of each frame relies on. */
+/** Required fields of each frame kind and their types. */
 const frameShapes: Readonly<Record<MeshWireFrame['kind'], Readonly<Record<string, FieldType>>>> = {
-  answered: { ...loadedCall, body: 'bytes', headers: 'array', status: 'number' },
-  cancel: callField,
+  answered: { ...callFieldsWithLoad, body: 'bytes', headers: 'array', status: 'number' },
+  cancel: callFields,
   configuration: { content: 'bytes', version: 'number' },
-  declined: { ...loadedCall, expectedMilliseconds: 'number', reason: 'string' },
-  failed: { ...loadedCall, detail: 'string' },
+  declined: { ...callFieldsWithLoad, expectedMilliseconds: 'number', reason: 'string' },
+  failed: { ...callFieldsWithLoad, detail: 'string' },
   hello: {
     configurationVersion: 'number',
     knownNodes: 'number',
@@ -121,7 +121,7 @@
   pong: {},
   pull: {},
   start: {
-    ...callField,
+    ...callFields,
     callerService: 'string',
     headers: 'array',
     idempotent: 'boolean',
@@ -142,22 +142,25 @@
 };
 
 export function encodeMeshFrame(frame: MeshWireFrame): Buffer {
-  return prefixLength(encoder.encode(frame.kind === 'configuration' ? pack(frame) : frame));
+  return addLengthPrefix(
+    encoder.encode(frame.kind === 'configuration' ? compressConfiguration(frame) : frame),
+  );
 }
 
-/** A configuration goes to many nodes and is compressed once. */
-const packedContents = new WeakMap<Uint8Array, Uint8Array>();
-/** Fastest: a node may have a quarter of a core, and routes resemble each other enough. */
+/** Compressed configurations by content, so that a configuration sent to many nodes is compressed once. */
+const compressedContents = new WeakMap<Uint8Array, Uint8Array>();
+/** The fastest level: a node may have only a quarter of a core, and routes are alike enough to compress well. */
 const compressionLevel = 1;
 
-function pack(frame: ConfigurationFrame): ConfigurationFrame {
+function compressConfiguration(frame: ConfigurationFrame): ConfigurationFrame {
   const content =
-    packedContents.get(frame.content) ?? deflateRawSync(frame.content, { level: compressionLevel });
-  packedContents.set(frame.content, content);
+    compressedContents.get(frame.content) ??
+    deflateRawSync(frame.content, { level: compressionLevel });
+  compressedContents.set(frame.content, content);
   return { ...frame, content };
 }
 
-function unpack(frame: MeshWireFrame): MeshWireFrame {
+function decompressConfiguration(frame: MeshWireFrame): MeshWireFrame {
   if (frame.kind !== 'configuration') return frame;
   return {
     ...frame,
@@ -171,30 +174,30 @@
     super(maximumHelloBytes, decodeMeshFrame);
   }
 
-  /** The other side has named itself; frames with bodies may follow. */
-  public greeted(): void {
-    this.allow(maximumFrameBytes);
+  /** Raises the size limit once the other side has identified itself, since frames with bodies may follow. */
+  public allowLargeFrames(): void {
+    this.setMaximumBytes(maximumFrameBytes);
   }
 }
 
-function decodeMeshFrame(bytes: Buffer): Decoded<MeshWireFrame> {
+function decodeMeshFrame(bytes: Buffer): DecodeResult<MeshWireFrame> {
   try {
     const value: unknown = encoder.decode(bytes);
-    const detail = describeFault(value);
+    const detail = describeFrameFault(value);
     if (detail !== undefined) return { detail, fault: FrameFault.BadShape, kind: 'fault' };
-    return { frame: unpack(value as MeshWireFrame), kind: 'frame' };
+    return { frame: decompressConfiguration(value as MeshWireFrame), kind: 'frame' };
   } catch (error) {
     return { detail: String(error), fault: FrameFault.BadEncoding, kind: 'fault' };
   }
 }
 
-function describeFault(value: unknown): string | undefined {
-  if (typeof value !== 'object' || value === null) return 'a frame is a map';
+function describeFrameFault(value: unknown): string | undefined {
+  if (typeof value !== 'object' || value === null) return 'frame is not a map';
   const fields = value as Readonly<Record<string, unknown>>;
   const { kind } = fields;
-  if (typeof kind !== 'string' || !Object.hasOwn(frameShapes, kind)) return 'unknown kind of frame';
+  if (typeof kind !== 'string' || !Object.hasOwn(frameShapes, kind)) return 'unknown frame kind';
   for (const [name, type] of Object.entries(frameShapes[kind as MeshWireFrame['kind']])) {
-    if (!hasType(fields[name], type)) return `${kind}: ${name} is not of type ${type}`;
+    if (!hasType(fields[name], type)) return `frame ${kind}: field ${name} is not of type ${type}`;
   }
   return undefined;
 }
--- a/packages/nodes/src/node-connections.ts
+++ b/packages/nodes/src/node-connections.ts
@@ -8,13 +8,13 @@
 import { CloseReason, PeerConnection } from './peer-connection.js';
 import type { PeerConnectionEvents } from './peer-connection.js';
 
-/** Above this many unsent bytes a node takes no new calls for the peer. */
-const congestionBytes = 4_194_304;
-/** Frames that may wait for a connection that is being opened. */
-const maximumWaitingFrames = 1_000;
-const tickMilliseconds = 250;
+/** A connection with more unsent bytes than this is sent no new calls. */
+const congestionThresholdBytes = 4_194_304;
+/** Frames queued at most for a peer whose connection is being opened. */
+const maximumQueuedFrames = 1_000;
+const tickIntervalMilliseconds = 250;
 
-/** What became of a frame that was handed over for sending. */
+/** Whether a frame was accepted for sending. */
 export const SendResult = {
   Accepted: 'accepted',
   Congested: 'congested',
@@ -23,13 +23,15 @@
 export type SendResult = (typeof SendResult)[keyof typeof SendResult];
 
 export interface NodeConnectionsEvents {
-  readonly frame: (from: NodeIdentity, frame: PeerFrame) => void;
-  /** Frames that waited for a connection that could not be opened: none of them was sent. */
-  readonly unsent: (server: string, frames: readonly PeerFrame[]) => void;
-  /** A connection was lost; frames on it may be lost. */
-  readonly lost: (server: string, reason: CloseReason, detail: string) => void;
-  readonly drained: (server: string) => void;
-  readonly rejected: (reason: CloseReason, detail: string) => void;
+  readonly onFrame: (from: NodeIdentity, frame: PeerFrame) => void;
+  /** Frames queued for a connection that could not be opened; none of them was sent. */
+  readonly onUnsent: (server: string, frames: readonly PeerFrame[]) => void;
+  /** A connection was lost; frames sent on it may be lost. */
+  readonly onConnectionLost: (server: string, reason: CloseReason, detail: string) => void;
+  /** The write buffer of a connection to the server has emptied. */
+  readonly onDrained: (server: string) => void;
+  /** A dial failed, or an accepted connection was closed before its handshake was complete. */
+  readonly onConnectionRejected: (reason: CloseReason, detail: string) => void;
 }
 
 export interface NodeConnectionsOptions {
@@ -46,17 +48,17 @@
   readonly server: string;
   readonly backoff: DialBackoff;
   readonly connections: PeerConnection[];
-  dialing: PeerConnection | undefined;
-  waiting: PeerFrame[];
+  pendingDial: PeerConnection | undefined;
+  queuedFrames: PeerFrame[];
 }
 
-/** All connections of this node to others: accepts them, opens them on demand, closes idle ones. */
+/** All connections of this node to other nodes: accepts them, opens them on demand, closes idle ones. */
 export class NodeConnections {
   public readonly closeCounts = new Map<CloseReason, number>();
 
   private readonly server: Server;
   private readonly peers = new Map<string, Peer>();
-  private readonly unidentified = new Set<PeerConnection>();
+  private readonly unauthenticated = new Set<PeerConnection>();
   private readonly timer: NodeJS.Timeout;
   private isClosed = false;
   private closedBytesSent = 0;
@@ -64,14 +66,14 @@
 
   public constructor(private readonly options: NodeConnectionsOptions) {
     this.server = createServer((socket) => {
-      this.unidentified.add(this.open(socket, 'accepted', undefined));
+      this.unauthenticated.add(this.open(socket, 'accepted', undefined));
     });
     this.timer = setInterval(() => {
       this.tick();
-    }, tickMilliseconds);
+    }, tickIntervalMilliseconds);
   }
 
-  /** Starts to accept connections; resolves to the port. */
+  /** Starts accepting connections; resolves to the port. */
   public async listen(): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -81,7 +83,7 @@
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Bytes that went over all connections since the start. */
+  /** Bytes sent and received on all connections since the node started. */
   public get traffic(): { readonly sent: number; readonly received: number } {
     let sent = this.closedBytesSent;
     let received = this.closedBytesReceived;
@@ -94,28 +96,28 @@
     return { received, sent };
   }
 
-  /** Sends a frame, opening a connection if there is none. */
+  /** Sends a frame, opening a connection to the address if there is none to the server. */
   public send(server: string, address: string, frame: PeerFrame): SendResult {
-    const peer = this.peerOf(server);
+    const peer = this.getOrCreatePeer(server);
     const [connection] = peer.connections;
     if (connection !== undefined) {
-      if (frame.kind === 'request-start' && connection.bufferedBytes > congestionBytes) {
+      if (frame.kind === 'request-start' && connection.bufferedBytes > congestionThresholdBytes) {
         return SendResult.Congested;
       }
       connection.send(frame);
       return SendResult.Accepted;
     }
-    if (peer.dialing === undefined && !this.dial(peer, address)) {
+    if (peer.pendingDial === undefined && !this.dial(peer, address)) {
       return SendResult.Unreachable;
     }
-    if (peer.waiting.length >= maximumWaitingFrames) {
+    if (peer.queuedFrames.length >= maximumQueuedFrames) {
       return SendResult.Congested;
     }
-    peer.waiting.push(frame);
+    peer.queuedFrames.push(frame);
     return SendResult.Accepted;
   }
 
-  /** Bytes that wait to be written to a peer. */
+  /** Bytes for a peer that have not been written to the network yet. */
   public bufferedBytes(server: string): number {
     return this.peers.get(server)?.connections[0]?.bufferedBytes ?? 0;
   }
@@ -123,11 +125,11 @@
   public async close(): Promise<void> {
     this.isClosed = true;
     clearInterval(this.timer);
-    for (const connection of this.unidentified) {
+    for (const connection of this.unauthenticated) {
       connection.close();
     }
     for (const peer of this.peers.values()) {
-      peer.dialing?.close();
+      peer.pendingDial?.close();
       for (const connection of [...peer.connections]) {
         connection.close();
       }
@@ -139,18 +141,18 @@
     });
   }
 
-  private peerOf(server: string): Peer {
+  private getOrCreatePeer(server: string): Peer {
     let peer = this.peers.get(server);
     if (peer === undefined) {
       const backoff = new DialBackoff(this.options.random);
-      peer = { backoff, connections: [], dialing: undefined, server, waiting: [] };
+      peer = { backoff, connections: [], pendingDial: undefined, server, queuedFrames: [] };
       this.peers.set(server, peer);
     }
     return peer;
   }
 
   private dial(peer: Peer, address: string): boolean {
-    if (this.isClosed || !peer.backoff.isDue(this.options.clock())) {
+    if (this.isClosed || !peer.backoff.canDial(this.options.clock())) {
       return false;
     }
     const separator = address.lastIndexOf(':');
@@ -159,39 +161,39 @@
       return false;
     }
     const socket = connect({ host: address.slice(0, separator), port });
-    peer.dialing = this.open(socket, 'dialed', peer);
+    peer.pendingDial = this.open(socket, 'dialed', peer);
     return true;
   }
 
   private open(socket: Socket, side: ConnectionSide, dialedPeer: Peer | undefined): PeerConnection {
     const events: PeerConnectionEvents = {
-      closed: (connection, reason, detail) => {
-        this.closed(connection, dialedPeer, reason, detail);
+      onClosed: (connection, reason, detail) => {
+        this.handleClosed(connection, dialedPeer, reason, detail);
       },
-      drained: (connection) => {
+      onDrained: (connection) => {
         if (connection.peer !== undefined) {
-          this.options.events.drained(connection.peer.server);
+          this.options.events.onDrained(connection.peer.server);
         }
       },
-      frame: (connection, frame) => {
+      onFrame: (connection, frame) => {
         if (connection.peer !== undefined) {
-          this.options.events.frame(connection.peer, frame);
+          this.options.events.onFrame(connection.peer, frame);
         }
       },
-      ready: (connection) => {
-        this.ready(connection, dialedPeer);
+      onReady: (connection) => {
+        this.handleReady(connection, dialedPeer);
       },
     };
     const { clock, identity, secrets } = this.options;
     return new PeerConnection({ clock, events, identity, secrets, side, socket });
   }
 
-  private ready(connection: PeerConnection, dialedPeer: Peer | undefined): void {
+  private handleReady(connection: PeerConnection, dialedPeer: Peer | undefined): void {
     const identity = connection.peer;
     if (identity === undefined) {
       return;
     }
-    this.unidentified.delete(connection);
+    this.unauthenticated.delete(connection);
     if (dialedPeer !== undefined && dialedPeer.server !== identity.server) {
       connection.close(
         CloseReason.BadHello,
@@ -199,20 +201,20 @@
       );
       return;
     }
-    const peer = this.peerOf(identity.server);
+    const peer = this.getOrCreatePeer(identity.server);
     peer.connections.push(connection);
-    peer.backoff.succeeded();
-    if (peer.dialing === connection) {
-      peer.dialing = undefined;
+    peer.backoff.recordSuccess();
+    if (peer.pendingDial === connection) {
+      peer.pendingDial = undefined;
     }
-    const { waiting } = peer;
-    peer.waiting = [];
-    for (const frame of waiting) {
+    const { queuedFrames } = peer;
+    peer.queuedFrames = [];
+    for (const frame of queuedFrames) {
       connection.send(frame);
     }
   }
 
-  private closed(
+  private handleClosed(
     connection: PeerConnection,
     dialedPeer: Peer | undefined,
     reason: CloseReason,
@@ -221,15 +223,15 @@
     this.closeCounts.set(reason, (this.closeCounts.get(reason) ?? 0) + 1);
     this.closedBytesSent += connection.bytesSent;
     this.closedBytesReceived += connection.bytesReceived;
-    this.unidentified.delete(connection);
+    this.unauthenticated.delete(connection);
     const server = dialedPeer?.server ?? connection.peer?.server;
     if (server === undefined) {
-      this.options.events.rejected(reason, detail);
+      this.options.events.onConnectionRejected(reason, detail);
       return;
     }
-    const peer = this.peerOf(server);
-    if (peer.dialing === connection) {
-      this.dialFailed(peer, reason, detail);
+    const peer = this.getOrCreatePeer(server);
+    if (peer.pendingDial === connection) {
+      this.handleDialFailed(peer, reason, detail);
       return;
     }
     const index = peer.connections.indexOf(connection);
@@ -237,28 +239,28 @@
       peer.connections.splice(index, 1);
     }
     if (!this.isClosed) {
-      this.options.events.lost(server, reason, detail);
+      this.options.events.onConnectionLost(server, reason, detail);
     }
   }
 
-  private dialFailed(peer: Peer, reason: CloseReason, detail: string): void {
-    const { waiting } = peer;
-    peer.dialing = undefined;
-    peer.waiting = [];
-    peer.backoff.failed(this.options.clock());
-    this.options.events.rejected(reason, detail);
+  private handleDialFailed(peer: Peer, reason: CloseReason, detail: string): void {
+    const { queuedFrames } = peer;
+    peer.pendingDial = undefined;
+    peer.queuedFrames = [];
+    peer.backoff.recordFailure(this.options.clock());
+    this.options.events.onConnectionRejected(reason, detail);
     if (!this.isClosed) {
-      this.options.events.unsent(peer.server, waiting);
+      this.options.events.onUnsent(peer.server, queuedFrames);
     }
   }
 
   private tick(): void {
     const now = this.options.clock();
-    for (const connection of [...this.unidentified]) {
+    for (const connection of [...this.unauthenticated]) {
       connection.tick(now);
     }
     for (const peer of this.peers.values()) {
-      peer.dialing?.tick(now);
+      peer.pendingDial?.tick(now);
       for (const connection of [...peer.connections]) {
         connection.tick(now);
       }
--- a/packages/nodes/src/peer-authentication.ts
+++ b/packages/nodes/src/peer-authentication.ts
@@ -1,35 +1,35 @@
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
-/** Secrets that nodes share; the previous one is accepted while the current one is being rolled out. */
+/** Secrets shared by all nodes; the previous one is accepted while the current one is being rolled out. */
 export interface PeerSecrets {
   readonly current: string;
   readonly previous?: string | undefined;
 }
 
-/** Which side of the connection signs; a proof of one side can't be sent back as the other's. */
+/** Part of each proof, so that a proof of one side can't be sent back as the proof of the other. */
 export type ConnectionSide = 'dialed' | 'accepted';
 
 export interface ProofInput {
-  readonly side: ConnectionSide;
-  readonly server: string;
-  readonly ownNonce: Uint8Array;
-  readonly otherNonce: Uint8Array;
+  readonly signerSide: ConnectionSide;
+  readonly signerServer: string;
+  readonly signerNonce: Uint8Array;
+  readonly verifierNonce: Uint8Array;
 }
 
 function sign(secret: string, input: ProofInput): Buffer {
   return createHmac('sha256', secret)
-    .update(`${input.side}\n${input.server}\n`)
-    .update(input.otherNonce)
-    .update(input.ownNonce)
+    .update(`${input.signerSide}\n${input.signerServer}\n`)
+    .update(input.verifierNonce)
+    .update(input.signerNonce)
     .digest();
 }
 
-/** Signs the other side's nonce. */
+/** Signs the verifier's nonce with the current secret. */
 export function createProof(secrets: PeerSecrets, input: ProofInput): Buffer {
   return sign(secrets.current, input);
 }
 
-/** Checks a proof against the current and the previous secret. `input` is from the signer's view. */
+/** Checks a proof against the current and the previous secret. */
 export function verifyProof(
   secrets: PeerSecrets,
   input: ProofInput,
@@ -39,7 +39,7 @@
   let isValid = false;
   for (const secret of accepted) {
     const expected = sign(secret, input);
-    // Every secret is compared, so that the time does not tell which one matched.
+    // Every secret is compared, so that the duration does not reveal which one matched.
     isValid =
       (signature.length === expected.length && timingSafeEqual(signature, expected)) || isValid;
   }
--- a/packages/nodes/src/peer-connection.ts
+++ b/packages/nodes/src/peer-connection.ts
@@ -9,7 +9,7 @@
 import { protocolVersion } from './wire-frames.js';
 import type { HelloFrame, WireFrame } from './wire-frames.js';
 
-/** Why a connection ended. Each has a counter. */
+/** Why a connection was closed. The connections are counted by reason. */
 export const CloseReason = {
   BadEncoding: 'bad-encoding',
   BadHello: 'bad-hello',
@@ -25,22 +25,22 @@
 } as const;
 export type CloseReason = (typeof CloseReason)[keyof typeof CloseReason];
 
-const heartbeatAfterMilliseconds = 1_000;
-const silenceLimitMilliseconds = 5_000;
+const heartbeatIntervalMilliseconds = 1_000;
+const silenceTimeoutMilliseconds = 5_000;
 /**
- * A connection without calls for this long sends no heartbeats: a node pings another member each
- * second, and heartbeats on all those connections would cost more than the pings.
+ * Heartbeats stop this long after the last frame of a call. A node pings a different member every second;
+ * heartbeats on all those connections would cost more than the pings.
  */
-const activeMilliseconds = 10_000;
-const idleLimitMilliseconds = 60_000;
-const handshakeLimitMilliseconds = 3_000;
+const heartbeatPeriodAfterCallMilliseconds = 10_000;
+const idleTimeoutMilliseconds = 60_000;
+const handshakeTimeoutMilliseconds = 3_000;
 const nonceBytes = 16;
 
 export interface PeerConnectionEvents {
-  readonly ready: (connection: PeerConnection) => void;
-  readonly frame: (connection: PeerConnection, frame: PeerFrame) => void;
-  readonly closed: (connection: PeerConnection, reason: CloseReason, detail: string) => void;
-  readonly drained: (connection: PeerConnection) => void;
+  readonly onReady: (connection: PeerConnection) => void;
+  readonly onFrame: (connection: PeerConnection, frame: PeerFrame) => void;
+  readonly onClosed: (connection: PeerConnection, reason: CloseReason, detail: string) => void;
+  readonly onDrained: (connection: PeerConnection) => void;
 }
 
 export interface PeerConnectionOptions {
@@ -52,34 +52,34 @@
   readonly clock: () => number;
 }
 
-/** One authenticated connection to another node. Owns its socket. */
+/** An authenticated connection to another node. Owns its socket. */
 export class PeerConnection {
-  /** Known once the other side has proved itself. */
+  /** The other node; undefined until its proof has been verified. */
   public peer: NodeIdentity | undefined;
   public bytesSent = 0;
   public bytesReceived = 0;
 
   private readonly decoder = new FrameDecoder();
   private readonly nonce = randomBytes(nonceBytes);
-  private otherHello: HelloFrame | undefined;
+  private peerHello: HelloFrame | undefined;
   private isClosed = false;
   private isCorked = false;
   private lastReceivedAt: number;
   private lastSentAt: number;
-  /** When the last frame but a heartbeat passed. */
-  private lastUsedAt: number;
-  /** When the last frame of a call passed. */
+  /** When the last frame other than handshake and heartbeat frames was sent or received. */
+  private lastActivityAt: number;
+  /** When the last frame of a call was sent or received. */
   private lastCallAt = Number.NEGATIVE_INFINITY;
 
   public constructor(private readonly options: PeerConnectionOptions) {
     const now = options.clock();
     this.lastReceivedAt = now;
     this.lastSentAt = now;
-    this.lastUsedAt = now;
+    this.lastActivityAt = now;
     const { socket } = options;
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => {
-      this.receive(chunk);
+      this.handleChunk(chunk);
     });
     socket.on('error', (error) => {
       this.close(CloseReason.SocketError, error.message);
@@ -88,7 +88,7 @@
       this.close(CloseReason.ClosedByOther, '');
     });
     socket.on('drain', () => {
-      options.events.drained(this);
+      options.events.onDrained(this);
     });
     this.write({
       identity: options.identity,
@@ -98,38 +98,38 @@
     });
   }
 
-  /** Bytes that wait to be written to the network. */
+  /** Bytes that have not been written to the network yet. */
   public get bufferedBytes(): number {
     return this.options.socket.writableLength;
   }
 
   public send(frame: PeerFrame): void {
-    this.noteUse(frame, this.options.clock());
+    this.recordActivity(frame, this.options.clock());
     this.write(frame);
   }
 
-  /** Sends a heartbeat or closes the connection, as the time demands. */
+  /** Sends a heartbeat when one is due; closes the connection when it is idle or the other side is silent. */
   public tick(now: number): void {
     if (this.peer === undefined) {
-      if (now - this.lastReceivedAt > handshakeLimitMilliseconds) {
-        this.close(CloseReason.Silent, 'no complete handshake');
+      if (now - this.lastReceivedAt > handshakeTimeoutMilliseconds) {
+        this.close(CloseReason.Silent, 'handshake not completed in time');
       }
       return;
     }
-    if (now - this.lastUsedAt > idleLimitMilliseconds) {
+    if (now - this.lastActivityAt > idleTimeoutMilliseconds) {
       this.close(CloseReason.Idle, '');
       return;
     }
-    if (now - this.lastCallAt > activeMilliseconds) {
-      // The other side sends no heartbeats either, so its silence starts to count with the next call.
+    if (now - this.lastCallAt > heartbeatPeriodAfterCallMilliseconds) {
+      // The other side sends no heartbeats either, so silence is measured only from the next call on.
       this.lastReceivedAt = now;
       return;
     }
-    if (now - this.lastReceivedAt > silenceLimitMilliseconds) {
+    if (now - this.lastReceivedAt > silenceTimeoutMilliseconds) {
       this.close(CloseReason.Silent, `nothing received for ${now - this.lastReceivedAt} ms`);
       return;
     }
-    if (now - this.lastSentAt >= heartbeatAfterMilliseconds) {
+    if (now - this.lastSentAt >= heartbeatIntervalMilliseconds) {
       this.write({ kind: 'heartbeat' });
     }
   }
@@ -140,11 +140,11 @@
     }
     this.isClosed = true;
     this.options.socket.destroy();
-    this.options.events.closed(this, reason, detail);
+    this.options.events.onClosed(this, reason, detail);
   }
 
-  private noteUse(frame: PeerFrame, now: number): void {
-    this.lastUsedAt = now;
+  private recordActivity(frame: PeerFrame, now: number): void {
+    this.lastActivityAt = now;
     if (isCallFrame(frame)) {
       this.lastCallAt = now;
     }
@@ -159,7 +159,7 @@
     this.lastSentAt = clock();
     this.bytesSent += encoded.length;
     if (!this.isCorked) {
-      // Frames of one turn of the event loop leave in one system call.
+      // Frames sent in the same turn of the event loop are written with one system call.
       this.isCorked = true;
       socket.cork();
       process.nextTick(() => {
@@ -170,7 +170,7 @@
     socket.write(encoded);
   }
 
-  private receive(chunk: Buffer): void {
+  private handleChunk(chunk: Buffer): void {
     this.lastReceivedAt = this.options.clock();
     this.bytesReceived += chunk.length;
     for (const decoded of this.decoder.push(chunk)) {
@@ -181,66 +181,69 @@
         this.close(decoded.fault, decoded.detail);
         return;
       }
-      this.accept(decoded.frame);
+      this.handleFrame(decoded.frame);
     }
   }
 
-  private accept(frame: WireFrame): void {
+  private handleFrame(frame: WireFrame): void {
     switch (frame.kind) {
       case 'hello':
-        this.acceptHello(frame);
+        this.handleHello(frame);
         return;
       case 'proof':
-        this.acceptProof(frame.signature);
+        this.handleProof(frame.signature);
         return;
       case 'heartbeat':
         return;
       default:
         if (this.peer === undefined) {
-          this.close(CloseReason.BadHello, `${frame.kind} before the handshake was complete`);
+          this.close(
+            CloseReason.BadHello,
+            `received ${frame.kind} before the handshake was complete`,
+          );
           return;
         }
-        this.noteUse(frame, this.lastReceivedAt);
-        this.options.events.frame(this, frame);
+        this.recordActivity(frame, this.lastReceivedAt);
+        this.options.events.onFrame(this, frame);
     }
   }
 
-  private acceptHello(frame: HelloFrame): void {
-    if (this.otherHello !== undefined) {
-      this.close(CloseReason.BadHello, 'second hello');
+  private handleHello(frame: HelloFrame): void {
+    if (this.peerHello !== undefined) {
+      this.close(CloseReason.BadHello, 'received a second hello');
       return;
     }
     if (frame.version !== protocolVersion) {
       this.close(
         CloseReason.VersionMismatch,
-        `protocol version ${frame.version}, this node speaks ${protocolVersion}`,
+        `protocol version ${frame.version}, this node uses ${protocolVersion}`,
       );
       return;
     }
-    this.otherHello = frame;
+    this.peerHello = frame;
     const { identity, secrets, side } = this.options;
     const signature = createProof(secrets, {
-      otherNonce: frame.nonce,
-      ownNonce: this.nonce,
-      server: identity.server,
-      side,
+      verifierNonce: frame.nonce,
+      signerNonce: this.nonce,
+      signerServer: identity.server,
+      signerSide: side,
     });
     this.write({ kind: 'proof', signature });
   }
 
-  private acceptProof(signature: Uint8Array): void {
-    const hello = this.otherHello;
+  private handleProof(signature: Uint8Array): void {
+    const hello = this.peerHello;
     if (hello === undefined || this.peer !== undefined) {
-      this.close(CloseReason.BadHello, 'proof out of order');
+      this.close(CloseReason.BadHello, 'received a proof out of order');
       return;
     }
     const isValid = verifyProof(
       this.options.secrets,
       {
-        otherNonce: this.nonce,
-        ownNonce: hello.nonce,
-        server: hello.identity.server,
-        side: this.options.side === 'dialed' ? 'accepted' : 'dialed',
+        verifierNonce: this.nonce,
+        signerNonce: hello.nonce,
+        signerServer: hello.identity.server,
+        signerSide: this.options.side === 'dialed' ? 'accepted' : 'dialed',
       },
       signature,
     );
@@ -249,11 +252,11 @@
       return;
     }
     this.peer = hello.identity;
-    this.options.events.ready(this);
+    this.options.events.onReady(this);
   }
 }
 
-/** Whether somebody waits for the other side, so that its silence has to be noticed. */
+/** Whether a frame belongs to a call, so that a silent other side has to be detected. */
 function isCallFrame({ kind }: PeerFrame): boolean {
   return (
     kind.startsWith('request-') ||
--- a/packages/nodes/src/wire-frames.ts
+++ b/packages/nodes/src/wire-frames.ts
@@ -1,9 +1,9 @@
 import type { NodeIdentity, PeerFrame } from '@peridotspring/core';
 
-/** Raised when frames change in a way that older nodes can't read. */
+/** Increment when frames change in a way that older nodes can't decode. */
 export const protocolVersion = 2;
 
-/** The first frame in each direction. */
+/** The first frame that each side sends on a connection. */
 export interface HelloFrame {
   readonly kind: 'hello';
   readonly version: number;
@@ -12,13 +12,13 @@
   readonly nonce: Uint8Array;
 }
 
-/** The second frame in each direction: shows that the sender holds the peer secret. */
+/** The second frame that each side sends: proves that the sender has the peer secret. */
 export interface ProofFrame {
   readonly kind: 'proof';
   readonly signature: Uint8Array;
 }
 
-/** Shows that the connection is alive. */
+/** Keeps a connection without other traffic from being taken as dead. */
 export interface HeartbeatFrame {
   readonly kind: 'heartbeat';
 }
--- a/packages/nodes/tests/frame-codec.test.ts
+++ b/packages/nodes/tests/frame-codec.test.ts
@@ -31,7 +31,7 @@
   return decoded;
 }
 
-test('frames survive any division of the byte stream', () => {
+test('frames are decoded however the byte stream is split into chunks', () => {
   const stream = Buffer.concat(frames.map((frame) => encodeFrame(frame)));
   fastCheck.assert(
     fastCheck.property(
@@ -47,13 +47,13 @@
 
 const plainEncoder = new Encoder({ tagUint8Array: false, useRecords: false });
 
-/** A frame with the names of its fields, as text that can be compared. */
-function textOf(frame: unknown): string {
+/** Encodes a frame with its field names, as text that can be compared. */
+function encodePlain(frame: unknown): string {
   return plainEncoder.encode(frame).toString('latin1');
 }
 
-// A field whose number is read as another field would deliver one frame as a different one.
-test('every frame is read as it was written, whatever its fields are called', () => {
+// If a field number were decoded as another field, a frame would be delivered as a different one.
+test('every frame is decoded as it was encoded, whatever its field names are', () => {
   const head = {
     depth: 1,
     headers: { 'content-type': 'text/plain', kind: 'x', server: ['a', 'b'], '3': 'c' },
@@ -80,11 +80,11 @@
   for (const frame of written) {
     const [result] = new FrameDecoder().push(encodeFrame(frame));
     const read: unknown = result?.kind === 'frame' ? result.frame : result;
-    assert.is(textOf(read), textOf(frame));
+    assert.is(encodePlain(read), encodePlain(frame));
   }
 });
 
-test('the greeting is readable without the numbers of the fields', () => {
+test('a hello can be decoded without the field numbers', () => {
   const identity = {
     availabilityZone: 'z',
     incarnation: 1,
@@ -92,12 +92,12 @@
     region: 'r',
     server: 's',
   };
-  const greeting = { identity, kind: 'hello', nonce: new Uint8Array(2), version: 9 } as const;
-  const decoded: unknown = plainEncoder.decode(encodeFrame(greeting).subarray(4));
+  const helloFrame = { identity, kind: 'hello', nonce: new Uint8Array(2), version: 9 } as const;
+  const decoded: unknown = plainEncoder.decode(encodeFrame(helloFrame).subarray(4));
   assert.is((decoded as { readonly version?: unknown }).version, 9);
 });
 
-test('random bytes never make the decoder throw, so a hostile peer can not stop the node', () => {
+test('random bytes never make the decoder throw, so a hostile peer cannot stop the node', () => {
   fastCheck.assert(
     fastCheck.property(fastCheck.uint8Array({ maxLength: 400 }), (bytes) => {
       const framed = Buffer.alloc(4 + bytes.length);
@@ -109,7 +109,7 @@
   );
 });
 
-test('a length above the maximum is a fault before its bytes arrive, so memory stays bounded', () => {
+test('a length above the maximum is rejected before the frame arrives, so memory stays bounded', () => {
   const head = Buffer.alloc(4);
   head.writeUInt32BE(maximumFrameBytes + 1, 0);
   const [result] = new FrameDecoder().push(head);
--- a/packages/nodes/tests/node-connections.test.ts
+++ b/packages/nodes/tests/node-connections.test.ts
@@ -7,11 +7,11 @@
 import * as assert from 'uvu/assert';
 
 import { CloseReason, maximumFrameBytes, protocolVersion } from '../src/index.js';
-import { closeNodes, startNode, waitUntil } from './shared/node-pair.js';
+import { closeNodes, startNode, waitUntil } from './shared/test-node.js';
 
 const encoder = new Encoder({ tagUint8Array: false, useRecords: false });
 
-function framed(value: unknown): Buffer {
+function encodeWithLength(value: unknown): Buffer {
   const encoded = encoder.encode(value);
   const buffer = Buffer.alloc(4 + encoded.length);
   buffer.writeUInt32BE(encoded.length, 0);
@@ -25,29 +25,48 @@
   nonce: new Uint8Array(16),
   version: protocolVersion,
 };
-const tooLong = Buffer.alloc(4);
-tooLong.writeUInt32BE(maximumFrameBytes + 1, 0);
+const oversizedLength = Buffer.alloc(4);
+oversizedLength.writeUInt32BE(maximumFrameBytes + 1, 0);
 
-/** What a broken or hostile peer may send, and the reason that must be counted for it. */
+/** What a faulty or hostile peer may send, and the close reason that must be counted for it. */
 const malformedInputs: readonly (readonly [string, Buffer, CloseReason])[] = [
-  ['a frame that is too long', tooLong, CloseReason.TooLarge],
+  ['a frame that is too long', oversizedLength, CloseReason.TooLarge],
   ['an HTTP request', Buffer.from('GET / HTTP/1.1\r\n\r\n'), CloseReason.TooLarge],
   ['bytes that are not CBOR', Buffer.from([0, 0, 0, 2, 0x5b, 0xff]), CloseReason.BadEncoding],
-  ['a value that is no map', framed(5), CloseReason.BadShape],
-  ['an unknown kind', framed({ kind: 'surprise' }), CloseReason.BadShape],
-  ['a kind that every object has', framed({ kind: 'toString' }), CloseReason.BadShape],
-  ['a hello without a nonce', framed({ ...hello, nonce: 'text' }), CloseReason.BadShape],
-  ['another protocol version', framed({ ...hello, version: 99 }), CloseReason.VersionMismatch],
-  ['a frame before the hello', framed({ kind: 'load-probe', service: 'a' }), CloseReason.BadHello],
+  ['a value that is not a map', encodeWithLength(5), CloseReason.BadShape],
+  ['an unknown kind', encodeWithLength({ kind: 'surprise' }), CloseReason.BadShape],
+  [
+    'a kind that is a property of every object',
+    encodeWithLength({ kind: 'toString' }),
+    CloseReason.BadShape,
+  ],
+  ['a hello without a nonce', encodeWithLength({ ...hello, nonce: 'text' }), CloseReason.BadShape],
+  [
+    'another protocol version',
+    encodeWithLength({ ...hello, version: 99 }),
+    CloseReason.VersionMismatch,
+  ],
+  [
+    'a frame before the hello',
+    encodeWithLength({ kind: 'load-probe', service: 'a' }),
+    CloseReason.BadHello,
+  ],
   [
     'a proof before the hello',
-    framed({ kind: 'proof', signature: new Uint8Array(32) }),
+    encodeWithLength({ kind: 'proof', signature: new Uint8Array(32) }),
+    CloseReason.BadHello,
+  ],
+  [
+    'two hellos',
+    Buffer.concat([encodeWithLength(hello), encodeWithLength(hello)]),
     CloseReason.BadHello,
   ],
-  ['two hellos', Buffer.concat([framed(hello), framed(hello)]), CloseReason.BadHello],
   [
     'a wrong proof',
-    Buffer.concat([framed(hello), framed({ kind: 'proof', signature: new Uint8Array(32) })]),
+    Buffer.concat([
+      encodeWithLength(hello),
+      encodeWithLength({ kind: 'proof', signature: new Uint8Array(32) }),
+    ]),
     CloseReason.BadProof,
   ],
 ];
@@ -61,19 +80,19 @@
 
 test.after(closeNodes);
 
-test('frames reach the other node and its answers come back on the same connection', async () => {
+test('frames reach the other node, and its answers come back on the same connection', async () => {
   const first = await startNode('first');
   const second = await startNode('second');
   first.connections.send('second', second.address, { kind: 'load-probe', service: 'a' });
   await waitUntil(() => second.frames.length === 1, 'the first frame');
   assert.is(second.frames[0]?.from, 'first');
-  // The address is wrong on purpose: the connection that exists must be used.
+  // The address is wrong on purpose: the existing connection must be used.
   second.connections.send('first', '127.0.0.1:1', { kind: 'load-report', load: undefined });
   await waitUntil(() => first.frames.length === 1, 'the answer');
 });
 
 for (const [name, bytes, reason] of malformedInputs) {
-  test(`${name} closes that connection with a counted reason and harms no other`, async () => {
+  test(`${name} closes its connection with a counted reason and does not affect others`, async () => {
     const node = await startNode('victim');
     const neighbour = await startNode('neighbour');
     neighbour.connections.send('victim', node.address, { kind: 'load-probe', service: 'a' });
@@ -91,11 +110,11 @@
   });
 }
 
-test('a node with another secret gets nothing through and hears that nothing was sent', async () => {
+test('a node with another secret can deliver no frames, and its frames are reported as unsent', async () => {
   const node = await startNode('guarded');
   const stranger = await startNode('stranger', { current: 'guess' });
   stranger.connections.send('guarded', node.address, { kind: 'load-probe', service: 'a' });
-  await waitUntil(() => stranger.unsent.length === 1, 'the frame to come back as unsent');
+  await waitUntil(() => stranger.unsent.length === 1, 'the frame to be reported as unsent');
   assert.equal(node.frames, []);
 });
 
@@ -106,7 +125,7 @@
   await waitUntil(() => updated.frames.length === 1, 'the frame of the node with the old secret');
 });
 
-test('frames to an address where nobody listens come back as unsent, not as lost', async () => {
+test('frames to an address where no process listens are reported as unsent, not as lost', async () => {
   const node = await startNode('alone');
   const gone = await startNode('gone');
   await gone.connections.close();
@@ -115,7 +134,7 @@
   assert.equal(node.lost, []);
 });
 
-test('a server name that does not match the dialed address gets no frames', async () => {
+test('a node at the dialed address with another server name gets no frames', async () => {
   const node = await startNode('dialer');
   const other = await startNode('other');
   node.connections.send('expected', other.address, { kind: 'load-probe', service: 'a' });
@@ -123,7 +142,7 @@
   assert.equal(other.frames, []);
 });
 
-test('a lost connection is reported, so that attempts on it do not wait for their deadline', async () => {
+test('a lost connection is reported, so that attempts on it need not wait for their deadline', async () => {
   const first = await startNode('stays');
   const second = await startNode('dies');
   first.connections.send('dies', second.address, { kind: 'load-probe', service: 'a' });
--- a/packages/nodes/tests/shared/node-pair.ts
+++ b/packages/nodes/tests/shared/test-node.ts
@@ -13,9 +13,9 @@
   readonly unsent: PeerFrame[];
 }
 
-const opened: TestNode[] = [];
+const openNodes: TestNode[] = [];
 
-/** Starts a node's connections on a free loopback port. */
+/** Starts the connections of a node on a free loopback port. */
 export async function startNode(
   server: string,
   secrets: PeerSecrets = { current: 'secret' },
@@ -36,11 +36,11 @@
     bindPort: 0,
     clock: () => performance.now(),
     events: {
-      drained: () => undefined,
-      frame: (from, frame) => frames.push({ frame, from: from.server }),
-      lost: (name) => lost.push(name),
-      rejected: (reason) => rejected.push(reason),
-      unsent: (_server, waiting) => unsent.push(...waiting),
+      onDrained: () => undefined,
+      onFrame: (from, frame) => frames.push({ frame, from: from.server }),
+      onConnectionLost: (name) => lost.push(name),
+      onConnectionRejected: (reason) => rejected.push(reason),
+      onUnsent: (_server, waiting) => unsent.push(...waiting),
     },
     identity,
     random: () => 0.5,
@@ -56,24 +56,24 @@
     rejected,
     unsent,
   };
-  opened.push(node);
+  openNodes.push(node);
   return node;
 }
 
 export async function closeNodes(): Promise<void> {
-  for (const node of opened.splice(0)) {
+  for (const node of openNodes.splice(0)) {
     await node.connections.close();
   }
 }
 
-const waitLimitMilliseconds = 20_000;
+const waitTimeoutMilliseconds = 20_000;
 
-/** Waits until a condition holds; the limit only bounds a failing test. */
-export async function waitUntil(condition: () => boolean, what: string): Promise<void> {
+/** Waits until a condition holds; the time limit only matters when a test fails. */
+export async function waitUntil(condition: () => boolean, description: string): Promise<void> {
   const startedAt = performance.now();
   while (!condition()) {
-    if (performance.now() - startedAt > waitLimitMilliseconds) {
-      throw new Error(`waited too long for: ${what}`);
+    if (performance.now() - startedAt > waitTimeoutMilliseconds) {
+      throw new Error(`timed out waiting for ${description}`);
     }
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
