--- a/packages/daemon/src/mesh/configuration-follower.ts
+++ b/packages/daemon/src/mesh/configuration-follower.ts
@@ -1,9 +1,9 @@
 import {
   ConfigurationHolder,
-  ConfigurationPull,
+  ConfigurationPullScheduler,
   isSameZone,
   OfferResult,
-  WatchDuty,
+  StoreWatchElection,
 } from '@peridotspring/mesh-core';
 import type { ConfigurationInForce, MeshNode, RouteConfiguration } from '@peridotspring/mesh-core';
 import type { MeshHelloFrame, MeshConnections } from '@peridotspring/nodes';
@@ -39,8 +39,8 @@
  */
 export class ConfigurationFollower {
   private readonly holder = new ConfigurationHolder();
-  private readonly pull: ConfigurationPull;
-  private readonly watchDuty: WatchDuty;
+  private readonly pull: ConfigurationPullScheduler;
+  private readonly watchDuty: StoreWatchElection;
   /** When the configuration in force came into force. */
   private changedAt: number;
   private newestEra: number | undefined;
@@ -48,8 +48,8 @@
   private refusedVersion: number | undefined;
 
   public constructor(private readonly options: ConfigurationFollowerOptions) {
-    this.pull = new ConfigurationPull(options.self.name);
-    this.watchDuty = new WatchDuty(options.self);
+    this.pull = new ConfigurationPullScheduler(options.self.name);
+    this.watchDuty = new StoreWatchElection(options.self);
     this.changedAt = options.clock();
   }
 
@@ -62,7 +62,7 @@
   }
 
   public get reachesStore(): boolean {
-    return this.watchDuty.reachesStore;
+    return this.watchDuty.isStoreReachable;
   }
 
   /** Whether this node watches the store. */
@@ -119,29 +119,29 @@
 
   /** The store answers again, or does not answer any more. */
   public storeReached(reachesStore: boolean): void {
-    this.watchDuty.storeReached(reachesStore);
+    this.watchDuty.onStoreReachabilityChanged(reachesStore);
     this.options.ports().links.broadcast({ kind: 'store-reach', reachesStore });
   }
 
   public connected({ configurationVersion, node, reachesStore, storeEra }: MeshHelloFrame): void {
-    this.watchDuty.connected(node, reachesStore);
+    this.watchDuty.onNodeConnected(node, reachesStore);
     this.versionHeard(node, configurationVersion);
     this.eraTold(storeEra);
   }
 
   public disconnected(node: string): void {
-    this.pull.forget(node);
-    this.watchDuty.disconnected(node);
+    this.pull.removeNode(node);
+    this.watchDuty.onNodeDisconnected(node);
   }
 
   public versionHeard(from: MeshNode, version: number): void {
     const { clock, self } = this.options;
-    this.pull.heard(from.name, version, isSameZone(from, self), clock());
+    this.pull.onVersionAnnounced(from.name, version, isSameZone(from, self), clock());
   }
 
   /** A node says whether the store answers it. */
   public storeReachTold(node: string, reachesStore: boolean): void {
-    this.watchDuty.told(node, reachesStore);
+    this.watchDuty.onStoreReachabilityReported(node, reachesStore);
   }
 
   /** A node asks for the configuration in force. */
@@ -155,7 +155,7 @@
 
   public tick(now: number): void {
     this.checkWatchDuty(now);
-    const source = this.pull.due(this.version, this.watchDuty.isWatching, now);
+    const source = this.pull.takeDueSource(this.version, this.watchDuty.isWatching, now);
     if (source !== undefined) this.options.ports().links.send(source, { kind: 'pull' });
   }
 
--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -5,7 +5,7 @@
   EndedServers,
   isSameZone,
   LoadAnnouncer,
-  RepeatBudget,
+  RetryBudget,
   RequestForwarder,
   ServerGate,
   ServerState,
@@ -102,7 +102,7 @@
   private readonly configuration: ConfigurationFollower;
   private readonly targets = new GateTable();
   private readonly split: TrafficSplit;
-  private readonly budget: RepeatBudget;
+  private readonly budget: RetryBudget;
   private readonly forwarder: RequestForwarder;
   private readonly gate: ServerGate;
   private readonly announcer = new LoadAnnouncer();
@@ -147,7 +147,7 @@
       self,
     });
     this.split = new TrafficSplit(random);
-    this.budget = new RepeatBudget(settings.repeats);
+    this.budget = new RetryBudget(settings.repeats);
     this.gate = new ServerGate({
       log: ({ event, fields }) => {
         this.log(event, fields);
@@ -156,7 +156,7 @@
         abort: (executionId) => {
           options.ports().server.abort(executionId);
         },
-        loadChanged: () => {
+        onStateChanged: () => {
           this.loadChanged();
         },
         probe: () => {
@@ -237,7 +237,7 @@
   /** Figures of each service for the metrics, read when they are asked for. */
   public get serviceFigures(): MeshServiceFigures {
     const now = this.options.clock();
-    const uses = [...this.budget.uses(now)];
+    const uses = [...this.budget.usageByService(now)];
     return {
       load_report_age_milliseconds: this.targets.loadAges(now),
       repeats_allowed: new Map(uses.map(({ allowed, service }) => [service, allowed])),
@@ -274,8 +274,8 @@
   public callerRequest(request: EntryRequest): void {
     const now = this.options.clock();
     const service = this.split.chooseService(request.route);
-    const parent = this.gate.parentOf(request.requestId);
-    if (parent?.repeat === true) this.budget.charge(service, now);
+    const parent = this.gate.findParent(request.requestId);
+    if (parent?.repeat === true) this.budget.recordUnavoidableRetry(service, now);
     this.forwarder.forward(request, service, parent !== undefined, now);
   }
 
@@ -285,13 +285,13 @@
 
   public executionConcluded(executionId: number, result: ExecutionResult): void {
     const now = this.options.clock();
-    this.gate.concluded(executionId, result, now);
+    this.gate.onExecutionFinished(executionId, result, now);
     this.announceLoad(now);
   }
 
   public serverLoad(load: ServerLoad): void {
     const now = this.options.clock();
-    this.gate.serverLoad(load, now);
+    this.gate.onServerLoad(load, now);
     this.announceLoad(now);
   }
 
@@ -369,7 +369,7 @@
     const now = this.options.clock();
     switch (frame.kind) {
       case 'start':
-        this.announcer.requested(from.name, isSameZone(from, this.options.self), now);
+        this.announcer.onRequest(from.name, isSameZone(from, this.options.self), now);
         this.gate.start(from.name, from.boot, frame, now);
         this.announceLoad(now);
         return;
@@ -425,7 +425,7 @@
     const routeNames = new Set(routes.map(({ name }) => name));
     this.split.retain(routeNames);
     this.forwarder.onConfigurationChange(routeNames, version);
-    this.gate.configured(routeNames);
+    this.gate.onRoutesChanged(routeNames);
     this.options.ports().callers.configure(limits);
   }
 
@@ -434,14 +434,14 @@
     if (now < this.announceDueAt) return;
     this.announceDueAt = now + announceMilliseconds;
     const load = this.gate.load(now);
-    for (const node of this.announcer.due(load, now)) {
+    for (const node of this.announcer.takeDueNodes(load, now)) {
       if (node === this.options.self.name) this.targets.onLoadReported(node, load, now);
       else this.options.ports().links.send(node, { kind: 'load', load });
     }
   }
 
   private reply(node: string, frame: ReplyFrame): void {
-    this.announcer.told(node, frame.load, this.options.clock());
+    this.announcer.onReplySent(node, frame.load, this.options.clock());
     if (node !== this.options.self.name) {
       this.options.ports().links.send(node, frame);
       return;
@@ -478,10 +478,10 @@
     const now = this.options.clock();
     switch (message.kind) {
       case 'report':
-        this.gate.report(message.report, now);
+        this.gate.onServerReport(message.report, now);
         return;
       case 'leave':
-        this.gate.leave(message.instanceId, now);
+        this.gate.onServerLeaving(message.instanceId, now);
         return;
       case 'invalid':
         this.log(MeshEvent.ServerMessageInvalid, { detail: message.message });
@@ -493,7 +493,7 @@
     if (!Array.isArray(endedServers)) return;
     for (const server of endedServers as readonly unknown[]) {
       if (!isEndedServer(server) || !('node' in server)) continue;
-      if (server.node === this.options.self.name) this.gate.endedBefore(server, now);
+      if (server.node === this.options.self.name) this.gate.onServerEndReported(server, now);
     }
   }
 
@@ -539,7 +539,7 @@
     links.tick(now);
     for (const node of this.directory.takeNodesToDial(now)) links.dial(node);
     this.directoryKeeper.tick(now);
-    this.budget.shareBetween(this.directory.nodeCount);
+    this.budget.setNodeCount(this.directory.nodeCount);
     this.configuration.tick(now);
     this.hearServer(now);
     this.checkHealth(now);
@@ -575,8 +575,8 @@
     const path = this.healthPath;
     const answer = path === undefined ? undefined : await this.options.ports().server.health(path);
     const now = this.options.clock();
-    if (answer?.load !== undefined) this.gate.serverLoad(answer.load, now);
-    this.gate.probed(now);
+    if (answer?.load !== undefined) this.gate.onServerLoad(answer.load, now);
+    this.gate.onProbeFinished(now);
   }
 
   private healthAnswered(answer: HealthAnswer | undefined): void {
@@ -586,8 +586,8 @@
     });
     if (answer?.instanceId === undefined || !answer.isReady || answer.load === undefined) return;
     const now = this.options.clock();
-    this.gate.seen(answer.instanceId, answer.load.slots, now);
-    this.gate.serverLoad(answer.load, now);
+    this.gate.onHealthCheckPassed(answer.instanceId, answer.load.slots, now);
+    this.gate.onServerLoad(answer.load, now);
   }
 
   private log(event: string, fields: Fields): void {
--- a/packages/mesh-core/src/configuration/configuration-holder.ts
+++ b/packages/mesh-core/src/configuration/configuration-holder.ts
@@ -1,17 +1,17 @@
 import type { RouteConfiguration } from '../routes/route-configuration.js';
 import { RouteTable } from '../routes/route-table.js';
 
-/** A configuration in force, with what the operator wrote. */
+/** The configuration in force, with its source text. */
 export interface ConfigurationInForce {
   readonly configuration: RouteConfiguration;
   readonly table: RouteTable;
-  /** As the operator wrote it, for nodes that can't read the store. */
+  /** The source text as the operator wrote it, to be sent to nodes that can't read the store. */
   readonly content: Uint8Array;
 }
 
-/** What became of a configuration that was offered. */
+/** Result of offering a configuration to the holder. */
 export const OfferResult = {
-  /** It has the version in force and says something else; what is in force stays. */
+  /** It has the version in force but different content; the configuration in force stays. */
   Differs: 'differs',
   InForce: 'in-force',
   Older: 'older',
@@ -19,7 +19,7 @@
 } as const;
 export type OfferResult = (typeof OfferResult)[keyof typeof OfferResult];
 
-/** The newest configuration that this node has seen. An older one never replaces it. */
+/** Holds the newest configuration that this node has received. An older one never replaces it. */
 export class ConfigurationHolder {
   private current: ConfigurationInForce | undefined;
 
@@ -31,7 +31,7 @@
     return this.current?.configuration.version ?? 0;
   }
 
-  /** A newer configuration is in force from now on. */
+  /** Puts the configuration in force if it is newer than the current one. */
   public offer(configuration: RouteConfiguration, content: Uint8Array): OfferResult {
     if (this.current !== undefined) {
       if (configuration.version < this.version) return OfferResult.Older;
--- /dev/null
+++ b/packages/mesh-core/src/configuration/store-watch-election.ts
@@ -0,0 +1,96 @@
+import { zoneRank } from '../membership/zone-rank.js';
+import type { MeshNode } from '../messages/mesh-frames.js';
+import { isSameZone } from '../shared/same-zone.js';
+
+/** Number of nodes per availability zone that watch the store: one of them may fail without any effect. */
+const watchersPerZone = 2;
+/**
+ * Time for which watchers have to be missing before a node takes over. It is longer than a reset of the
+ * node's connections takes.
+ */
+const takeoverDelayMilliseconds = 1_000;
+
+interface Peer {
+  readonly isInSameZone: boolean;
+  readonly rank: string;
+  isStoreReachable: boolean;
+}
+
+/**
+ * Decides whether this node watches the configuration in the store. Calls to the store are billed, and if every
+ * node watched, each change would cost a call per node. Therefore only the first nodes of each availability zone,
+ * ordered by the hash of their names, watch, and the others receive the configuration from them. A node counts
+ * only nodes that it is connected to and that reach the store, so no agreement is needed: a node that is
+ * partitioned from all others watches the store itself.
+ */
+export class StoreWatchElection {
+  private readonly peers = new Map<string, Peer>();
+  private readonly rank: string;
+  private isStoreReached = true;
+  private watcherMissingSince: number | undefined;
+  private isElected = false;
+
+  public constructor(private readonly self: MeshNode) {
+    this.rank = zoneRank(self);
+  }
+
+  /** Whether the store responds to this node. */
+  public get isStoreReachable(): boolean {
+    return this.isStoreReached;
+  }
+
+  /** Whether this node watches the store, according to the last evaluation. */
+  public get isWatching(): boolean {
+    return this.isElected;
+  }
+
+  public onNodeConnected(node: MeshNode, isStoreReachable: boolean): void {
+    const isInSameZone = isSameZone(node, this.self);
+    this.peers.set(node.name, {
+      isInSameZone,
+      rank: zoneRank(node),
+      isStoreReachable,
+    });
+  }
+
+  public onNodeDisconnected(name: string): void {
+    this.peers.delete(name);
+  }
+
+  /** Handles the report of another node whether the store responds to it. */
+  public onStoreReachabilityReported(name: string, isStoreReachable: boolean): void {
+    const peer = this.peers.get(name);
+    if (peer !== undefined) peer.isStoreReachable = isStoreReachable;
+  }
+
+  /** Handles a change of whether the store responds to this node. */
+  public onStoreReachabilityChanged(isStoreReachable: boolean): void {
+    this.isStoreReached = isStoreReachable;
+  }
+
+  /** Re-evaluates whether this node watches the store, and returns the result. */
+  public evaluate(now: number): boolean {
+    if (!this.isWatcherMissing()) {
+      this.watcherMissingSince = undefined;
+      this.isElected = false;
+      return false;
+    }
+    this.watcherMissingSince ??= now;
+    this.isElected ||= now - this.watcherMissingSince >= takeoverDelayMilliseconds;
+    return this.isElected;
+  }
+
+  /** Whether fewer nodes than the required watchers precede this one in its zone. */
+  private isWatcherMissing(): boolean {
+    let precedingNodes = 0;
+    for (const { isInSameZone, rank, isStoreReachable } of this.peers.values()) {
+      // While this node can't reach the store either, the order stays the same: in an outage of the store, only
+      // the elected nodes poll for its return.
+      if (this.isStoreReached && !isStoreReachable) continue;
+      if (!isInSameZone || rank >= this.rank) continue;
+      precedingNodes += 1;
+      if (precedingNodes >= watchersPerZone) return false;
+    }
+    return true;
+  }
+}
--- a/packages/mesh-core/src/entry/request-forwarder.ts
+++ b/packages/mesh-core/src/entry/request-forwarder.ts
@@ -1,7 +1,7 @@
 import { assertInvariant, MinimumHeap } from '@peridotspring/core';
 import type { RandomSource } from '@peridotspring/core';
 
-import type { RepeatBudget } from '../budget/repeat-budget.js';
+import type { RetryBudget } from '../budget/retry-budget.js';
 import { DeclineReason } from '../messages/mesh-frames.js';
 import type {
   AnsweredFrame,
@@ -45,7 +45,7 @@
   readonly port: EntryPort;
   readonly gates: GateTable;
   readonly placementPolicy: PlacementPolicy;
-  readonly retryBudget: RepeatBudget;
+  readonly retryBudget: RetryBudget;
   readonly random: RandomSource;
   readonly callerService: string;
   readonly log: (event: EntryEvent) => void;
@@ -86,7 +86,7 @@
     this.requests.set(request.requestNumber, state);
     this.deadlines.push(deadline, state);
     // The retry budget is relative to the requests of callers, so nested calls of servers do not add to it.
-    if (!isNested) this.options.retryBudget.request(service, now);
+    if (!isNested) this.options.retryBudget.recordRequest(service, now);
     this.tryNextGate(state, now);
   }
 
@@ -242,7 +242,7 @@
     const denial = this.findRetryDenial(state, now);
     const choice = denial === undefined ? this.chooseGate(state, now) : undefined;
     if (choice === undefined) return this.denyRetry(state, cause, denial ?? 'no-gate');
-    if (!retryBudget.take(state.service, now)) return this.denyRetry(state, cause, 'budget');
+    if (!retryBudget.tryTake(state.service, now)) return this.denyRetry(state, cause, 'budget');
     const gate = choice.view.node.name;
     this.log(EntryEventName.RequestRepeated, state, { gate, reason: cause });
     const isHedge = state.attempts.size > 0;
--- a/packages/mesh-core/src/entry/route-sizes.ts
+++ b/packages/mesh-core/src/entry/route-sizes.ts
@@ -1,4 +1,4 @@
-import { DecayingMean } from '../shared/decaying-mean.js';
+import { ExponentialMovingAverage } from '../shared/exponential-moving-average.js';
 import { RouteMap } from '../shared/route-map.js';
 
 const sampleWeight = 0.05;
@@ -8,14 +8,15 @@
 
 /** Mean size of a request body plus its response body, by route. */
 export class RouteSizes {
-  private readonly meanKilobytesByRoute = new RouteMap<DecayingMean>();
+  private readonly meanKilobytesByRoute = new RouteMap<ExponentialMovingAverage>();
 
   public meanKilobytes(routeName: string): number {
     return this.meanKilobytesByRoute.get(routeName)?.value ?? initialKilobytes;
   }
 
   public addSample(routeName: string, bytes: number): void {
-    const createMean = (): DecayingMean => new DecayingMean(initialKilobytes, sampleWeight);
+    const createMean = (): ExponentialMovingAverage =>
+      new ExponentialMovingAverage(initialKilobytes, sampleWeight);
     this.meanKilobytesByRoute.getOrCreate(routeName, createMean).add(bytes / bytesPerKilobyte);
   }
 
--- a/packages/mesh-core/src/gate/admission-queue.ts
+++ b/packages/mesh-core/src/gate/admission-queue.ts
@@ -1,19 +1,19 @@
 import type { StartFrame } from '../messages/mesh-frames.js';
 
-/** A request that waits for a slot. */
+/** A request that waits for a free slot of the server. */
 export interface WaitingRequest {
   readonly executionId: number;
   readonly frame: StartFrame;
   readonly enqueuedAt: number;
   readonly deadline: number;
-  /** Monotonic time until which an answer has its full value. */
+  /** Monotonic time at which the target latency of the route expires. */
   readonly targetAt: number;
 }
 
 /**
- * Requests that wait for a slot of one server. Nested calls come first, because their parents hold
- * slots elsewhere. Then come requests that can still meet their target, the earliest target first
- * within a priority, and then those that are late already.
+ * Requests that wait for a slot of one server. Nested calls come first, because their parents hold slots of
+ * other servers. Requests that can still meet their target latency follow, ordered by priority and then by
+ * target, and after them requests that will miss it, ordered by priority and then by deadline.
  */
 export class AdmissionQueue {
   private readonly waiting = new Map<number, WaitingRequest>();
@@ -36,22 +36,26 @@
     return this.waiting.values();
   }
 
-  /** The request that should start next; `serviceMilliseconds` is how long it will take. */
+  /**
+   * The request that should start next.
+   *
+   * @param serviceMilliseconds expected service time, which decides whether a request can meet its target
+   */
   public next(
     now: number,
     serviceMilliseconds: number,
-    nestedFirst = true,
+    isNestedFirst = true,
   ): WaitingRequest | undefined {
     const finishAt = now + serviceMilliseconds;
     let best: WaitingRequest | undefined;
     for (const request of this.waiting.values()) {
-      if (best === undefined || precedes(request, best, finishAt, nestedFirst)) best = request;
+      if (best === undefined || precedes(request, best, finishAt, isNestedFirst)) best = request;
     }
     return best;
   }
 
-  /** How many waiting requests would start before the given one. */
-  public ahead(request: WaitingRequest, now: number, serviceMilliseconds: number): number {
+  /** Number of waiting requests that would start before the given one. */
+  public countAhead(request: WaitingRequest, now: number, serviceMilliseconds: number): number {
     let count = 0;
     for (const other of this.waiting.values()) {
       if (!precedes(request, other, now + serviceMilliseconds)) count += 1;
@@ -60,20 +64,20 @@
   }
 }
 
-/** Whether the first request starts before the second; `finishAt` is when either would end. */
+/** Whether the first request starts before the second; `finishAt` is when either would finish if it started now. */
 function precedes(
   first: WaitingRequest,
   second: WaitingRequest,
   finishAt: number,
-  nestedFirst = true,
+  isNestedFirst = true,
 ): boolean {
-  if (first.frame.nested !== second.frame.nested) return first.frame.nested === nestedFirst;
-  const firstInTime = first.targetAt >= finishAt;
-  const secondInTime = second.targetAt >= finishAt;
-  if (firstInTime !== secondInTime) return firstInTime;
+  if (first.frame.nested !== second.frame.nested) return first.frame.nested === isNestedFirst;
+  const isFirstInTime = first.targetAt >= finishAt;
+  const isSecondInTime = second.targetAt >= finishAt;
+  if (isFirstInTime !== isSecondInTime) return isFirstInTime;
   if (first.frame.priority !== second.frame.priority) {
     return first.frame.priority < second.frame.priority;
   }
-  if (firstInTime) return first.targetAt < second.targetAt;
+  if (isFirstInTime) return first.targetAt < second.targetAt;
   return first.deadline < second.deadline;
 }
--- /dev/null
+++ b/packages/mesh-core/src/gate/gate-call-registry.ts
@@ -0,0 +1,112 @@
+import type { ReplyFrame, StartFrame } from '../messages/mesh-frames.js';
+
+/**
+ * Time for which a finished call is retained after its end or its deadline, whichever is later. Until then
+ * an entry may resend the frame and must receive the same reply.
+ */
+const replyRetentionMilliseconds = 5_000;
+
+/** A request that an entry has asked the gate to run. */
+export interface GateCall {
+  readonly key: string;
+  readonly executionId: number;
+  readonly from: string;
+  readonly frame: StartFrame;
+  readonly arrivedAt: number;
+  readonly deadline: number;
+  readonly targetAt: number;
+  state: 'waiting' | 'running' | 'aborted' | 'finished';
+  startedAt: number;
+  runningAtStart: number;
+  /**
+   * Whether the call was admitted although its remaining time seemed too short: on an idle gate only a request
+   * can show whether the estimated service time is still right.
+   */
+  isTrial: boolean;
+  /** Whether the server was known to run at its normal speed when the call started. */
+  isFastAtStart: boolean;
+  slowdownAtStart: number;
+  /** Age of the report that `slowdownAtStart` was taken from, in milliseconds. */
+  slowdownAgeAtStart: number;
+  finishedAt: number;
+  reply: ReplyFrame | undefined;
+}
+
+/** The calls of a gate: those in progress, and finished ones whose reply may have to be sent again. */
+export class GateCallRegistry {
+  private readonly byKey = new Map<string, GateCall>();
+  private readonly unfinishedByExecutionId = new Map<number, GateCall>();
+  private nextExecutionId = 1;
+
+  /** The call that an entry's frame refers to, in progress or finished and still retained. */
+  public find(from: string, boot: number, callId: number): GateCall | undefined {
+    return this.byKey.get(callKey(from, boot, callId));
+  }
+
+  /** The call with this execution identifier, if it has not finished. */
+  public findByExecutionId(executionId: number): GateCall | undefined {
+    return this.unfinishedByExecutionId.get(executionId);
+  }
+
+  public open(from: string, boot: number, frame: StartFrame, now: number): GateCall {
+    const call: GateCall = {
+      arrivedAt: now,
+      deadline: now + frame.remainingMilliseconds,
+      executionId: this.nextExecutionId,
+      finishedAt: 0,
+      frame,
+      from,
+      isTrial: false,
+      key: callKey(from, boot, frame.callId),
+      reply: undefined,
+      runningAtStart: 0,
+      slowdownAtStart: 1,
+      slowdownAgeAtStart: Infinity,
+      startedAt: 0,
+      isFastAtStart: false,
+      state: 'waiting',
+      targetAt: now + frame.targetMilliseconds,
+    };
+    this.nextExecutionId += 1;
+    this.byKey.set(call.key, call);
+    this.unfinishedByExecutionId.set(call.executionId, call);
+    return call;
+  }
+
+  public finish(call: GateCall, reply: ReplyFrame | undefined, now: number): void {
+    call.state = 'finished';
+    call.finishedAt = now;
+    call.reply = reply;
+    this.unfinishedByExecutionId.delete(call.executionId);
+  }
+
+  /** Calls that the server is running; aborted ones are not included. */
+  public *runningCalls(): Generator<GateCall> {
+    for (const call of this.unfinishedByExecutionId.values())
+      if (call.state === 'running') yield call;
+  }
+
+  /** Removes finished calls whose retention period has passed. */
+  public removeExpired(now: number): void {
+    for (const { deadline, finishedAt, key, state } of this.byKey.values()) {
+      const retainedUntil = Math.max(finishedAt, deadline) + replyRetentionMilliseconds;
+      if (state === 'finished' && now > retainedUntil) this.byKey.delete(key);
+    }
+  }
+
+  /**
+   * Finds the running request that issued the given request as a nested call. The identifier of a nested call
+   * starts with that of its parent.
+   */
+  public findParent(requestId: string): StartFrame | undefined {
+    for (const { frame, state } of this.unfinishedByExecutionId.values()) {
+      if (state === 'waiting' || requestId.length <= frame.requestId.length) continue;
+      if (frame.requestId !== '' && requestId.startsWith(frame.requestId)) return frame;
+    }
+    return undefined;
+  }
+}
+
+function callKey(from: string, boot: number, callId: number): string {
+  return `${from}/${boot}/${callId}`;
+}
--- a/packages/mesh-core/src/gate/gate-contract.ts
+++ b/packages/mesh-core/src/gate/gate-contract.ts
@@ -1,16 +1,16 @@
 import type { DeclineReason, HeaderList, ReplyFrame, StartFrame } from '../messages/mesh-frames.js';
 
-/** A request that the gate hands to its server. */
+/** A request that the gate passes to its server. */
 export interface Execution {
   readonly executionId: number;
-  /** The lifetime of the server that is meant to run the request. */
+  /** Instance identifier of the server that is to run the request. */
   readonly instanceId: string;
   readonly frame: StartFrame;
-  /** Monotonic time by which the answer is due. */
+  /** Monotonic time by which the response is due. */
   readonly deadline: number;
 }
 
-/** What became of a request at the server. */
+/** Outcome of a request at the server. */
 export type ExecutionResult =
   | {
       readonly kind: 'answered';
@@ -18,24 +18,24 @@
       readonly headers: HeaderList;
       readonly body: Uint8Array;
     }
-  /** The server, or its address, said that the request did not run. */
+  /** The server refused the request, or no connection was made: it did not run. */
   | { readonly kind: 'not-run'; readonly reason: DeclineReason; readonly detail: string }
-  /** The request may have run. */
+  /** The request may have run, but there is no response. */
   | { readonly kind: 'failed'; readonly detail: string };
 
-/** Load that the server reports with its answers. */
+/** Load that the server reports with its responses. */
 export interface ServerLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** Time that work takes at this moment relative to the usual; undefined if the server does not say. */
+  /** Current service time relative to normal, 1 for normal; undefined if the server does not report it. */
   readonly slowdown: number | undefined;
 }
 
-/** What a server says of itself. */
+/** State that a server reports about itself. */
 export interface ServerReport {
   readonly instanceId: string;
-  /** Unix milliseconds of the server's start; undefined if it does not say. */
+  /** Start of the server in Unix milliseconds; undefined if it is not reported. */
   readonly startedAt: number | undefined;
   readonly sequence: number;
   readonly slots: number;
@@ -43,19 +43,19 @@
   readonly coldMilliseconds: number;
 }
 
-/** How the gate acts on the world. */
+/** Operations that the gate performs outside this package, implemented by its owner. */
 export interface GatePort {
   run(execution: Execution): void;
   /** Aborts a request at the server. */
   abort(executionId: number): void;
-  /** Asks the server for its load; `ServerGate.probed` follows. */
+  /** Requests the server's load; the implementation calls `ServerGate.onProbeFinished` afterwards. */
   probe(): void;
   reply(node: string, frame: ReplyFrame): void;
-  /** The state of the server changed. */
-  loadChanged(): void;
+  /** Called when the state of the server or of the gate has changed. */
+  onStateChanged(): void;
 }
 
-/** Names of the gate's events; they are stable, since operators filter and alert by them. */
+/** Names of the gate's log events. They must stay stable, since operators filter and alert on them. */
 export const GateEventName = {
   RequestCancelled: 'request-cancelled',
   RequestDeclined: 'request-declined',
@@ -68,7 +68,7 @@
 } as const;
 export type GateEventName = (typeof GateEventName)[keyof typeof GateEventName];
 
-/** One line of the gate's log. */
+/** A log event of the gate. */
 export interface GateEvent {
   readonly event: GateEventName;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
--- a/packages/mesh-core/src/gate/load-announcer.ts
+++ b/packages/mesh-core/src/gate/load-announcer.ts
@@ -1,89 +1,104 @@
 import type { GateLoad } from '../messages/mesh-frames.js';
 
-/** Pause between two reports to a node of the same availability zone; slow moments last some 150 ms. */
-const nearMilliseconds = 30;
-/** As above for other zones, where each byte is billed. */
-const farMilliseconds = 250;
 /**
- * The pause grows by this with each node that is told, so that the reports of a second do not grow with the
- * fleet. Five near and ten far nodes still have the shortest pause.
+ * Minimum interval between two load reports to a node of the same availability zone. Slowdowns of a server
+ * last about 150 ms, so reports have to arrive well within that.
  */
-const nearShareMilliseconds = 6;
-const farShareMilliseconds = 25;
+const sameZoneIntervalMilliseconds = 30;
+/** Minimum interval for nodes of other zones. It is longer because traffic between zones is billed by the byte. */
+const otherZoneIntervalMilliseconds = 250;
 /**
- * A node that has sent no request for this long is told no more: it hears of the load with its next answer. In a
- * fleet of 74 nodes a node uses each gate every few seconds, and reports were four of five frames between nodes.
+ * Interval per subscribed node: the interval grows with their number, so that the reports per second do not
+ * grow with the fleet. Up to five nodes of the same zone, and ten of other zones, have the minimum interval.
  */
-const interestMilliseconds = 1_000;
-/** Slowdowns are told apart in steps of this size. */
+const sameZoneIntervalPerNodeMilliseconds = 6;
+const otherZoneIntervalPerNodeMilliseconds = 25;
+/**
+ * Reports to a node end when it has sent no request for this long; it receives the load with its next reply.
+ * In a fleet of 74 nodes each node uses a gate only every few seconds, and without this bound four of five
+ * frames between nodes were load reports.
+ */
+const subscriptionMilliseconds = 1_000;
+/** A server is reported as slow if its slowdown factor exceeds the normal 1 by at least this much. */
 const slowdownStep = 1;
 
-interface Listener {
-  readonly isNear: boolean;
-  interestedAt: number;
-  toldAt: number;
-  told: LoadSummary;
+interface Subscriber {
+  readonly isInSameZone: boolean;
+  lastRequestAt: number;
+  notifiedAt: number;
+  lastSummary: LoadSummary;
 }
 
-/** What a report is compared by. */
+/** The parts of a load by which it is decided whether it has to be reported. */
 interface LoadSummary {
-  /** Whether the server takes requests, and whether it is slow: a change of these is told without a longer pause. */
+  /**
+   * Whether the server accepts requests and whether it is slow. Changes of these are reported at the minimum
+   * interval, whatever the number of nodes.
+   */
   readonly state: string;
-  /** How much it has to do. */
+  /** Running and waiting requests and the concurrency limit. */
   readonly work: string;
 }
 
-const nothingTold: LoadSummary = { state: '', work: '' };
+const emptySummary: LoadSummary = { state: '', work: '' };
 
-/** Which nodes are told of a gate's load between its answers: those that send it requests. */
+/** Decides which nodes receive load reports of a gate between its replies: those that send it requests. */
 export class LoadAnnouncer {
-  private readonly listeners = new Map<string, Listener>();
+  private readonly subscribers = new Map<string, Subscriber>();
 
-  /** A node sent a request. */
-  public requested(node: string, isNear: boolean, now: number): void {
-    const listener = this.listeners.get(node);
-    if (listener === undefined) {
-      this.listeners.set(node, { interestedAt: now, isNear, told: nothingTold, toldAt: now });
-    } else listener.interestedAt = now;
+  /** Subscribes a node that sent a request, or renews its subscription. */
+  public onRequest(node: string, isInSameZone: boolean, now: number): void {
+    const subscriber = this.subscribers.get(node);
+    if (subscriber === undefined) {
+      this.subscribers.set(node, {
+        lastRequestAt: now,
+        isInSameZone,
+        lastSummary: emptySummary,
+        notifiedAt: now,
+      });
+    } else subscriber.lastRequestAt = now;
   }
 
-  /** A reply told the node of the load. */
-  public told(node: string, load: GateLoad, now: number): void {
-    const listener = this.listeners.get(node);
-    if (listener === undefined) return;
-    listener.told = summaryOf(load);
-    listener.toldAt = now;
+  /** Records that a reply carried the load to the node. */
+  public onReplySent(node: string, load: GateLoad, now: number): void {
+    const subscriber = this.subscribers.get(node);
+    if (subscriber === undefined) return;
+    subscriber.lastSummary = summaryOf(load);
+    subscriber.notifiedAt = now;
   }
 
-  /** Nodes whose view of the load is out of date. */
-  public due(load: GateLoad, now: number): readonly string[] {
+  /** Returns the nodes that are due for a report of the load and records them as notified. */
+  public takeDueNodes(load: GateLoad, now: number): readonly string[] {
     const summary = summaryOf(load);
     const due: string[] = [];
-    const pauses = this.longerPauses();
-    for (const [node, listener] of this.listeners) {
-      if (now - listener.interestedAt > interestMilliseconds) {
-        this.listeners.delete(node);
+    const scaled = this.scaledIntervals();
+    for (const [node, subscriber] of this.subscribers) {
+      if (now - subscriber.lastRequestAt > subscriptionMilliseconds) {
+        this.subscribers.delete(node);
         continue;
       }
-      const { isNear, told, toldAt } = listener;
-      if (told.state === summary.state && told.work === summary.work) continue;
-      const shortest = isNear ? nearMilliseconds : farMilliseconds;
-      const longer = isNear ? pauses.near : pauses.far;
-      const pause = told.state === summary.state ? Math.max(shortest, longer) : shortest;
-      if (now - toldAt < pause) continue;
-      listener.told = summary;
-      listener.toldAt = now;
+      const { isInSameZone, lastSummary, notifiedAt } = subscriber;
+      if (lastSummary.state === summary.state && lastSummary.work === summary.work) continue;
+      const minimum = isInSameZone ? sameZoneIntervalMilliseconds : otherZoneIntervalMilliseconds;
+      const longer = isInSameZone ? scaled.sameZone : scaled.otherZones;
+      const interval = lastSummary.state === summary.state ? Math.max(minimum, longer) : minimum;
+      if (now - notifiedAt < interval) continue;
+      subscriber.lastSummary = summary;
+      subscriber.notifiedAt = now;
       due.push(node);
     }
     return due;
   }
 
-  /** Pauses that bound the reports of a second, whatever the number of nodes. */
-  private longerPauses(): { readonly near: number; readonly far: number } {
-    let near = 0;
-    for (const { isNear } of this.listeners.values()) if (isNear) near += 1;
-    const far = this.listeners.size - near;
-    return { far: far * farShareMilliseconds, near: near * nearShareMilliseconds };
+  /** Intervals that bound the total number of reports per second, whatever the number of nodes. */
+  private scaledIntervals(): { readonly sameZone: number; readonly otherZones: number } {
+    let sameZone = 0;
+    for (const { isInSameZone } of this.subscribers.values()) if (isInSameZone) sameZone += 1;
+    const otherZones = this.subscribers.size - sameZone;
+    return {
+      otherZones: otherZones * otherZoneIntervalPerNodeMilliseconds,
+      sameZone: sameZone * sameZoneIntervalPerNodeMilliseconds,
+    };
   }
 }
 
--- a/packages/mesh-core/src/gate/recent-failures.ts
+++ b/packages/mesh-core/src/gate/recent-failures.ts
@@ -1,9 +1,9 @@
-/** Weight of one result: the share covers about the last ten. */
+/** Weight of one result: the share covers about the last ten results. */
 const resultWeight = 0.1;
-/** Time in which the share of a server that gets no requests falls by half, so that it is tried again. */
+/** Time in which the share halves while the server receives no requests, so that it is used again eventually. */
 const halfLifeMilliseconds = 2_000;
 
-/** Share of recent requests that the server failed. */
+/** Share of recent requests that failed at the server, decaying over time. */
 export class RecentFailures {
   private value = 0;
   private updatedAt = 0;
--- a/packages/mesh-core/src/gate/server-gate.ts
+++ b/packages/mesh-core/src/gate/server-gate.ts
@@ -8,9 +8,9 @@
 } from '../messages/mesh-frames.js';
 import { AdmissionQueue } from './admission-queue.js';
 import type { WaitingRequest } from './admission-queue.js';
-import { ConcurrencyBound } from './concurrency-bound.js';
-import { GateCalls } from './gate-calls.js';
-import type { GateCall } from './gate-calls.js';
+import { ConcurrencyLimit } from './concurrency-limit.js';
+import { GateCallRegistry } from './gate-call-registry.js';
+import type { GateCall } from './gate-call-registry.js';
 import { GateEventName } from './gate-contract.js';
 import type {
   Execution,
@@ -20,110 +20,115 @@
   ServerLoad,
   ServerReport,
 } from './gate-contract.js';
-import { ProbeSchedule } from './probe-schedule.js';
+import { ProbeRateLimiter } from './probe-rate-limiter.js';
 import { RecentFailures } from './recent-failures.js';
-import { ReportEffect, ServerLifetime } from './server-lifetime.js';
-import { SpeedState, SpeedWatch } from './speed-watch.js';
+import { ReportEffect, ServerIncarnationTracker } from './server-incarnation-tracker.js';
+import { SpeedState, ServerSpeedTracker } from './server-speed-tracker.js';
 import { StartRate } from './start-rate.js';
-import { shortestUsefulMilliseconds, WorkTimes } from './work-times.js';
+import { shortestUsefulMilliseconds, ServiceTimeEstimator } from './service-time-estimator.js';
 
-/** A late request waits only if this many times its usual time remain after it could start. */
-const lateReserve = 1.5;
 /**
- * Late requests wait only in a queue of this share of the slots. They fill slots that would be free; in a
- * longer queue those in time go before them until their deadline.
+ * A request that will miss its target waits only if at least this many times its expected service time remain
+ * between its expected start and its deadline.
+ */
+const lateReserveFactor = 1.5;
+/**
+ * Requests that will miss their target wait only while the queue is shorter than this share of the slots.
+ * They are meant to use slots that would otherwise be idle; in a longer queue, requests that can meet their
+ * target would precede them until their deadline.
  */
 const lateQueueShare = 0.5;
-/** Expected rest of a slow moment. */
-const slowRestMilliseconds = 75;
+/** Expected remaining duration of a slowdown in progress. */
+const slowdownRemainderMilliseconds = 75;
 /**
- * A request that would be late if it started in a slow moment waits this long for the moment to pass: two
- * spans. Started in it, the request would also hold its slot for several times as long.
+ * Maximum time for which a request that would miss its target if started during a slowdown waits for the
+ * slowdown to end: the usual duration of two slowdowns. If started, the request would also hold its slot
+ * several times as long as normal.
  */
-const holdMilliseconds = 300;
-/** A nested call is short and its parent holds a slot, so it waits for less than one span. */
-const nestedHoldMilliseconds = 100;
-/** Time past the deadline after which a request is aborted; the server ends its work by itself first. */
-const overdueMilliseconds = 400;
+const slowdownWaitMilliseconds = 300;
+/** As above for a nested call, which is short and whose parent holds a slot: shorter than one slowdown. */
+const nestedSlowdownWaitMilliseconds = 100;
+/** Time past the deadline after which a request is aborted. The server normally stops its work by itself before. */
+const abortGraceMilliseconds = 400;
 
 /**
- * An idle gate takes a request that seems to have too little time if nothing has finished for this long:
- * only a request can show that its server is no longer slow.
+ * A gate that has been idle for this long admits a request whose remaining time seems too short, as a trial:
+ * only a request can show that the server is no longer slow.
  */
-const trialAfterMilliseconds = 1_000;
-/** A trial has at least this much time left: about the time of a short request. */
-const shortestTrialMilliseconds = 50;
-/** An idle gate asks a server that was slow for its speed this often. */
-const idleProbeMilliseconds = 1_000;
+const trialIdleMilliseconds = 1_000;
+/** Minimum remaining time of a trial: about the service time of a short request. */
+const minimumTrialMilliseconds = 50;
+/** Interval at which an idle gate probes the speed of a server that was slow. */
+const idleProbeIntervalMilliseconds = 1_000;
 
-/** Time between two searches for calls that are overdue or no longer remembered. */
-const sweepMilliseconds = 100;
+/** Interval between two searches for overdue calls and for finished calls whose retention has ended. */
+const sweepIntervalMilliseconds = 100;
 
 export interface ServerGateOptions {
   readonly service: string;
   readonly port: GatePort;
-  /** Questions for the server's speed that the gate may ask. */
+  /** Maximum rate at which the gate probes the server's speed. */
   readonly probesPerSecond: number;
   readonly log: (event: GateEvent) => void;
 }
 
 /**
- * The only way to the server beside the node. It decides what the server runs, in which order and how
- * much at once, so it knows without measuring how many requests are in flight, and its refusals are
- * true: what it declines has not run and will not.
+ * Admission control of the server beside the node. All requests to the server pass through the gate, which
+ * decides which of them run, in which order and how many at once. It therefore knows exactly how many are in
+ * flight, and a declined request is certain not to have run and not to run later.
  */
 export class ServerGate {
-  private readonly lifetime = new ServerLifetime();
+  private readonly serverTracker = new ServerIncarnationTracker();
   private readonly queue = new AdmissionQueue();
-  private readonly bound = new ConcurrencyBound();
-  private readonly speed = new SpeedWatch();
-  private readonly work = new WorkTimes(this.speed, this.bound);
-  private readonly probes: ProbeSchedule;
+  private readonly concurrencyLimit = new ConcurrencyLimit();
+  private readonly speed = new ServerSpeedTracker();
+  private readonly estimator = new ServiceTimeEstimator(this.speed, this.concurrencyLimit);
+  private readonly probes: ProbeRateLimiter;
   private readonly failures = new RecentFailures();
   private readonly startRate = new StartRate();
-  private readonly calls = new GateCalls();
+  private readonly calls = new GateCallRegistry();
   private running = 0;
   private nestedRunning = 0;
   private isStopping = false;
   private nextSweepAt = 0;
-  /** Last time at which a request started or ended at the server. */
-  private activeAt = 0;
+  /** Time of the last start or end of a request at the server. */
+  private lastActivityAt = 0;
 
   public constructor(private readonly options: ServerGateOptions) {
-    this.probes = new ProbeSchedule(options.probesPerSecond);
+    this.probes = new ProbeRateLimiter(options.probesPerSecond);
   }
 
   public get state(): ServerState {
     if (this.isStopping) return ServerState.Draining;
-    return this.lifetime.state;
+    return this.serverTracker.state;
   }
 
   public get inProgress(): number {
     return this.running + this.queue.size;
   }
 
-  /** Requests that wait for their start. */
+  /** Number of queued requests. */
   public get waiting(): number {
     return this.queue.size;
   }
 
   public get hasServer(): boolean {
-    return this.lifetime.instanceId !== undefined;
+    return this.serverTracker.instanceId !== undefined;
   }
 
-  /** The server that drains, or the one that left last. */
+  /** The server that is draining, or the one that left last. */
   public get lastEndedServer(): EndedServer | undefined {
-    return this.lifetime.lastEnded;
+    return this.serverTracker.lastEnded;
   }
 
-  /** Whether the server said that it leaves, and no other has come since. */
+  /** Whether the server has announced that it drains or leaves, and no other has started since. */
   public get hasServerLeft(): boolean {
-    return this.lifetime.hasLeft;
+    return this.serverTracker.hasLeft;
   }
 
-  /** Requests that the server says it can run at once; 0 without a server. */
+  /** Number of requests that the server reports it can run at once; 0 without a server. */
   public get slots(): number {
-    return this.hasServer ? this.lifetime.slots : 0;
+    return this.hasServer ? this.serverTracker.slots : 0;
   }
 
   public get probesPerSecond(): number {
@@ -133,29 +138,29 @@
   public load(now: number): GateLoad {
     return {
       failureShare: this.failures.share(now),
-      limit: this.bound.limit(this.lifetime.slots),
+      limit: this.concurrencyLimit.limit(this.serverTracker.slots),
       running: this.running,
-      serviceMilliseconds: this.work.mean,
-      slowdown: this.speed.state(now) === SpeedState.Slow ? this.speed.current : 1,
+      serviceMilliseconds: this.estimator.meanServiceMilliseconds,
+      slowdown: this.speed.state(now) === SpeedState.Slow ? this.speed.currentSlowdown : 1,
       state: this.state,
-      waitMilliseconds: this.waitFor(
+      waitMilliseconds: this.waitAtPosition(
         this.queue.size + 1,
-        this.bound.limit(this.lifetime.slots),
+        this.concurrencyLimit.limit(this.serverTracker.slots),
         now,
       ),
       waiting: this.queue.size,
     };
   }
 
-  /** A node asks for a request to be run. `boot` is the life of the asking process. */
+  /** Handles a request frame of a node. `boot` identifies the incarnation of the sending process. */
   public start(from: string, boot: number, frame: StartFrame, now: number): void {
-    const known = this.calls.find(from, boot, frame.callId);
-    if (known !== undefined) {
-      if (known.reply !== undefined) this.options.port.reply(from, known.reply);
+    const existing = this.calls.find(from, boot, frame.callId);
+    if (existing !== undefined) {
+      if (existing.reply !== undefined) this.options.port.reply(from, existing.reply);
       return;
     }
     const call = this.calls.open(from, boot, frame, now);
-    const reason = this.closedReason(call, now);
+    const reason = this.immediateDeclineReason(call, now);
     if (reason !== undefined) {
       this.decline(call, reason, 0, now);
       return;
@@ -163,7 +168,7 @@
     this.admit(call, now);
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Handles a cancellation: the response is no longer needed. */
   public cancel(from: string, boot: number, frame: CancelFrame, now: number): void {
     const call = this.calls.find(from, boot, frame.callId);
     if (call === undefined) return;
@@ -171,133 +176,142 @@
       this.queue.remove(call.executionId);
       this.finish(call, undefined, now);
     } else if (call.state === 'running' && call.frame.idempotent) {
-      // A request that must not be repeated is left to finish: its effect is wanted even unheard.
+      // A request that is not idempotent runs to its end: its effect is wanted even if nobody receives the response.
       call.state = 'aborted';
       this.options.port.abort(call.executionId);
     }
     this.log(GateEventName.RequestCancelled, call, { state: call.state });
   }
 
-  /** The server is done with a request. */
-  public concluded(executionId: number, result: ExecutionResult, now: number): void {
-    const call = this.calls.execution(executionId);
+  /** Handles the end of a request at the server. */
+  public onExecutionFinished(executionId: number, result: ExecutionResult, now: number): void {
+    const call = this.calls.findByExecutionId(executionId);
     if (call === undefined) return;
     const wasAborted = call.state === 'aborted';
     this.running -= 1;
-    this.activeAt = now;
+    this.lastActivityAt = now;
     if (call.frame.nested) this.nestedRunning -= 1;
-    if (wasAborted) this.work.aborted(call, now);
+    if (wasAborted) this.estimator.recordAbort(call, now);
     else {
       const isFailure =
         result.kind !== 'answered' || (result.status >= 500 && now < call.deadline - 1);
       this.failures.add(isFailure, now);
-      if (!isFailure) this.work.answered(call, this.lifetime.slots, now);
+      if (!isFailure) this.estimator.recordResponse(call, this.serverTracker.slots, now);
     }
     this.logFinished(call, result, now);
-    this.finish(call, wasAborted ? undefined : this.replyOf(call, result, now), now);
-    this.startWaiting(now);
+    this.finish(call, wasAborted ? undefined : this.toReply(call, result, now), now);
+    this.startQueued(now);
   }
 
-  /** A question for the server's speed was answered or failed. */
-  public probed(now: number): void {
-    this.probes.ended();
-    this.startWaiting(now);
+  /** Handles the end of a probe, whether it succeeded or failed. */
+  public onProbeFinished(now: number): void {
+    this.probes.onFinished();
+    this.startQueued(now);
   }
 
-  /** Load that came with an answer of the server. */
-  public serverLoad(load: ServerLoad, now: number): void {
-    this.bound.reported(load.running, this.running);
-    if (load.slowdown !== undefined) this.speedReported(load.slowdown, now);
-    this.startWaiting(now);
+  /** Handles the load that came with a response of the server. */
+  public onServerLoad(load: ServerLoad, now: number): void {
+    this.concurrencyLimit.recordServerRunning(load.running, this.running);
+    if (load.slowdown !== undefined) this.onSlowdownReported(load.slowdown, now);
+    this.startQueued(now);
   }
 
-  public report(report: ServerReport, now: number): void {
-    const effect = this.lifetime.report(report, now);
-    this.bound.setCold(this.lifetime.isCold(now));
+  public onServerReport(report: ServerReport, now: number): void {
+    const effect = this.serverTracker.onReport(report, now);
+    this.concurrencyLimit.setCold(this.serverTracker.isCold(now));
     this.applyEffect(effect, report.instanceId, now);
   }
 
-  /** A health check was answered; `instanceId` is who answered. */
-  public seen(instanceId: string, slots: number, now: number): void {
-    this.applyEffect(this.lifetime.seen(instanceId, slots, now), instanceId, now);
+  /** Handles a successful health check; `instanceId` is the server that answered it. */
+  public onHealthCheckPassed(instanceId: string, slots: number, now: number): void {
+    this.applyEffect(
+      this.serverTracker.onHealthCheckPassed(instanceId, slots, now),
+      instanceId,
+      now,
+    );
   }
 
-  /** The server says that it leaves. When this returns, no further request goes to it. */
-  public leave(instanceId: string, now: number): void {
-    if (!this.lifetime.leave(instanceId)) return;
+  /** Handles the announcement of a server that it leaves. Once this returns, no further request is sent to it. */
+  public onServerLeaving(instanceId: string, now: number): void {
+    if (!this.serverTracker.onLeaving(instanceId)) return;
     this.options.log({ event: GateEventName.ServerLeft, fields: { instance: instanceId } });
-    this.declineWaiting(DeclineReason.Draining, now);
-    this.options.port.loadChanged();
+    this.declineAllQueued(DeclineReason.Draining, now);
+    this.options.port.onStateChanged();
   }
 
-  /** Another node tells that an earlier life of this gate shut for a server. */
-  public endedBefore(server: EndedServer, now: number): void {
-    if (!this.lifetime.endedBefore(server)) return;
+  /**
+   * Handles the report of another node that an earlier incarnation of this gate stopped sending requests to a
+   * server because it drained or left.
+   */
+  public onServerEndReported(server: EndedServer, now: number): void {
+    if (!this.serverTracker.onEndReported(server)) return;
     const fields = { instance: server.instanceId };
     this.options.log({ event: GateEventName.ServerLeft, fields });
-    this.declineWaiting(DeclineReason.Draining, now);
-    this.options.port.loadChanged();
+    this.declineAllQueued(DeclineReason.Draining, now);
+    this.options.port.onStateChanged();
   }
 
-  /** The process is about to end: nothing new starts here. */
+  /** Declines all queued and further requests because the process is about to end. */
   public stop(now: number): void {
     this.isStopping = true;
-    this.declineWaiting(DeclineReason.Draining, now);
-    this.options.port.loadChanged();
+    this.declineAllQueued(DeclineReason.Draining, now);
+    this.options.port.onStateChanged();
   }
 
-  public configured(routeNames: ReadonlySet<string>): void {
-    this.work.retain(routeNames);
+  public onRoutesChanged(routeNames: ReadonlySet<string>): void {
+    this.estimator.retain(routeNames);
   }
 
   public setProbesPerSecond(probesPerSecond: number): void {
     this.probes.configure(probesPerSecond);
   }
 
-  /** The request at the server whose call a request is, by the form of the identifiers. */
-  public parentOf(requestId: string): StartFrame | undefined {
-    return this.calls.parentOf(requestId);
+  /** Finds the running request that issued the given request as a nested call, by the prefix of its identifier. */
+  public findParent(requestId: string): StartFrame | undefined {
+    return this.calls.findParent(requestId);
   }
 
   public tick(now: number): void {
-    this.bound.setCold(this.lifetime.isCold(now));
+    this.concurrencyLimit.setCold(this.serverTracker.isCold(now));
     for (const waiting of [...this.queue.values()]) {
-      const call = this.calls.execution(waiting.executionId);
+      const call = this.calls.findByExecutionId(waiting.executionId);
       if (call === undefined) continue;
       if (this.isTooLate(call, now)) {
         this.declineQueued(waiting, DeclineReason.DeadlineTooShort, 0, now);
       } else if (this.isOvertaken(call, now)) {
-        const expected = this.expectedWait(waiting, now) + this.work.expected(call.frame.routeName);
+        const expected =
+          this.expectedWait(waiting, now) +
+          this.estimator.expectedServiceMilliseconds(call.frame.routeName);
         this.declineQueued(waiting, DeclineReason.QueueFull, expected, now);
       }
     }
-    this.startWaiting(now);
-    if (this.isSpeedUnsure(now) && this.probes.take(now)) this.options.port.probe();
+    this.startQueued(now);
+    if (this.isIdleProbeDue(now) && this.probes.tryTake(now)) this.options.port.probe();
     if (now >= this.nextSweepAt) this.sweep(now);
   }
 
-  private speedReported(slowdown: number, now: number): void {
-    const lastReportAt = now - this.speed.age(now);
-    this.speed.report(slowdown, now);
+  private onSlowdownReported(slowdown: number, now: number): void {
+    const lastReportAt = now - this.speed.reportAge(now);
+    this.speed.recordSlowdown(slowdown, now);
     if (this.speed.state(now) !== SpeedState.Slow) return;
-    // The slow moment began at some time since the last report, perhaps before these requests started.
-    for (const call of this.calls.running()) {
-      if (call.startedAt > lastReportAt) call.startedFast = false;
+    // The slowdown began at some time since the last report, possibly before these requests started.
+    for (const call of this.calls.runningCalls()) {
+      if (call.startedAt > lastReportAt) call.isFastAtStart = false;
     }
   }
 
   private sweep(now: number): void {
-    this.nextSweepAt = now + sweepMilliseconds;
-    this.calls.forgetOld(now);
-    for (const call of this.calls.running()) {
-      if (now - call.deadline > overdueMilliseconds) this.options.port.abort(call.executionId);
+    this.nextSweepAt = now + sweepIntervalMilliseconds;
+    this.calls.removeExpired(now);
+    for (const call of this.calls.runningCalls()) {
+      if (now - call.deadline > abortGraceMilliseconds) this.options.port.abort(call.executionId);
     }
   }
 
-  private closedReason(call: GateCall, now: number): DeclineReason | undefined {
+  private immediateDeclineReason(call: GateCall, now: number): DeclineReason | undefined {
     const { frame } = call;
     if (this.isStopping) return DeclineReason.Draining;
-    switch (this.lifetime.state) {
+    switch (this.serverTracker.state) {
       case ServerState.Absent:
         return DeclineReason.NoServer;
       case ServerState.Draining:
@@ -305,42 +319,48 @@
       case ServerState.Ready:
     }
     if (frame.service !== this.options.service) return DeclineReason.WrongService;
-    if (frame.remainingMilliseconds >= this.work.needed(frame.routeName)) return undefined;
+    if (frame.remainingMilliseconds >= this.estimator.minimumMilliseconds(frame.routeName))
+      return undefined;
     call.isTrial = this.isTrialDue(frame, now);
     return call.isTrial ? undefined : DeclineReason.DeadlineTooShort;
   }
 
-  private isIdleSince(milliseconds: number, now: number): boolean {
-    return this.inProgress === 0 && now - this.activeAt > milliseconds;
+  private isIdleFor(milliseconds: number, now: number): boolean {
+    return this.inProgress === 0 && now - this.lastActivityAt > milliseconds;
   }
 
   private isTrialDue({ remainingMilliseconds }: StartFrame, now: number): boolean {
     return (
-      remainingMilliseconds >= shortestTrialMilliseconds &&
-      this.isIdleSince(trialAfterMilliseconds, now)
+      remainingMilliseconds >= minimumTrialMilliseconds &&
+      this.isIdleFor(trialIdleMilliseconds, now)
     );
   }
 
-  /** Without requests no answer tells that the server is fast again, and nodes place none here until then. */
-  private isSpeedUnsure(now: number): boolean {
+  /**
+   * Whether an idle gate should probe a slow server. Without requests no response shows that the server has
+   * recovered, and other nodes send no requests here until they know that it has.
+   */
+  private isIdleProbeDue(now: number): boolean {
     return (
-      this.speed.baseline > 1 &&
-      this.speed.age(now) > idleProbeMilliseconds &&
-      this.isIdleSince(idleProbeMilliseconds, now)
+      this.speed.baselineSlowdown > 1 &&
+      this.speed.reportAge(now) > idleProbeIntervalMilliseconds &&
+      this.isIdleFor(idleProbeIntervalMilliseconds, now)
     );
   }
 
   private isTooLate({ deadline, frame, isTrial }: GateCall, now: number): boolean {
-    const needed = isTrial ? shortestUsefulMilliseconds : this.work.needed(frame.routeName);
+    const needed = isTrial
+      ? shortestUsefulMilliseconds
+      : this.estimator.minimumMilliseconds(frame.routeName);
     return deadline - now < needed;
   }
 
   private admit(call: GateCall, now: number): void {
-    const waiting = waitingOf(call, now);
+    const waiting = toWaitingRequest(call, now);
     const isFree = this.queue.size === 0 && this.running < this.limitFor(call.frame);
     if (!isFree) {
       const wait = this.expectedWait(waiting, now);
-      const finish = wait + this.work.expected(call.frame.routeName);
+      const finish = wait + this.estimator.expectedServiceMilliseconds(call.frame.routeName);
       if (call.frame.optional) {
         this.decline(call, DeclineReason.Busy, finish, now);
         return;
@@ -351,79 +371,84 @@
       }
     }
     this.queue.add(waiting);
-    this.startWaiting(now);
+    this.startQueued(now);
   }
 
   /**
-   * A request waits if it would start in time for its target, or if it is certain to be served late.
-   * Under a lasting overload the rest are refused at once: waiting would make all of them late.
+   * Whether a request may wait: if it is expected to meet its target, or if it will miss the target but is
+   * certain to finish before its deadline. In a lasting overload all others are declined at once, since
+   * queueing them would make every request miss its target.
    */
   private mayWait({ deadline, frame, targetAt }: GateCall, wait: number, now: number): boolean {
-    const service = this.work.expected(frame.routeName);
+    const serviceTime = this.estimator.expectedServiceMilliseconds(frame.routeName);
     if (frame.nested) {
-      return now + wait + this.work.neededNested(frame.routeName) <= deadline;
+      return now + wait + this.estimator.minimumNestedMilliseconds(frame.routeName) <= deadline;
     }
-    if (now + wait + service <= targetAt) return true;
+    if (now + wait + serviceTime <= targetAt) return true;
     return (
-      this.queue.size < this.lateQueue(frame) && now + wait + service * lateReserve <= deadline
+      this.queue.size < this.lateQueueLimit(frame) &&
+      now + wait + serviceTime * lateReserveFactor <= deadline
     );
   }
 
   /**
-   * A request that has missed its target while many wait is overtaken by those in time until its deadline,
-   * so it is declined while it can still be refused early or go elsewhere.
+   * Whether a request can no longer meet its target while the queue is long. Requests that can would precede it
+   * until its deadline, so it is declined while there is time for a refusal or for another server.
    */
   private isOvertaken({ frame, targetAt }: GateCall, now: number): boolean {
-    if (frame.nested || this.queue.size <= this.lateQueue(frame)) return false;
-    return now + this.work.expected(frame.routeName) > targetAt;
+    if (frame.nested || this.queue.size <= this.lateQueueLimit(frame)) return false;
+    return now + this.estimator.expectedServiceMilliseconds(frame.routeName) > targetAt;
   }
 
-  /** Length of the queue up to which late requests wait. */
-  private lateQueue(frame: StartFrame): number {
+  /** Length of the queue below which requests that will miss their target may wait. */
+  private lateQueueLimit(frame: StartFrame): number {
     return Math.max(1, this.limitFor(frame) * lateQueueShare);
   }
 
   private limitFor(frame: StartFrame): number {
-    const { slots } = this.lifetime;
-    return frame.nested ? this.bound.nestedLimit(slots) : this.bound.limit(slots);
+    const { slots } = this.serverTracker;
+    return frame.nested
+      ? this.concurrencyLimit.nestedLimit(slots)
+      : this.concurrencyLimit.limit(slots);
   }
 
-  /** Time until a request would start if it waited here. */
+  /** Expected time until the request would start if it waited in the queue. */
   private expectedWait(request: WaitingRequest, now: number): number {
-    const ahead = this.queue.ahead(request, now, this.work.mean);
-    return this.waitFor(ahead + 1, this.limitFor(request.frame), now);
+    const ahead = this.queue.countAhead(request, now, this.estimator.meanServiceMilliseconds);
+    return this.waitAtPosition(ahead + 1, this.limitFor(request.frame), now);
   }
 
-  /** Time until the request at a place of the queue starts. */
-  private waitFor(place: number, limit: number, now: number): number {
-    if (this.running + place <= limit) return 0;
+  /** Expected time until the request at a position of the queue, counted from 1, starts. */
+  private waitAtPosition(position: number, limit: number, now: number): number {
+    if (this.running + position <= limit) return 0;
     const excess = Math.max(0, this.running - limit);
-    const byService = ((place + excess) * this.work.mean) / limit;
+    const byService = ((position + excess) * this.estimator.meanServiceMilliseconds) / limit;
     const interval = this.queue.size === 0 ? undefined : this.startRate.intervalMilliseconds(now);
-    return interval === undefined ? byService : Math.max(byService, place * interval);
+    return interval === undefined ? byService : Math.max(byService, position * interval);
   }
 
   /**
-   * Nested calls go first, because their parents hold slots elsewhere, but while callers wait they
-   * take no more than half of the slots: their parents may be less urgent than those who wait.
+   * Whether nested calls precede requests of callers. They do, because their parents hold slots of other
+   * servers, but only until they use half of the slots: their parents may be less urgent than waiting requests
+   * of callers.
    */
-  private get areNestedFirst(): boolean {
-    return this.nestedRunning * 2 < this.bound.limit(this.lifetime.slots);
+  private get isNestedFirst(): boolean {
+    return this.nestedRunning * 2 < this.concurrencyLimit.limit(this.serverTracker.slots);
   }
 
-  private startWaiting(now: number): void {
-    if (this.lifetime.state !== ServerState.Ready || this.isStopping) return;
+  private startQueued(now: number): void {
+    if (this.serverTracker.state !== ServerState.Ready || this.isStopping) return;
     while (this.queue.size > 0) {
-      const next = this.queue.next(now, this.work.mean, this.areNestedFirst);
+      const next = this.queue.next(now, this.estimator.meanServiceMilliseconds, this.isNestedFirst);
       if (next === undefined || this.running >= this.limitFor(next.frame)) return;
-      const speed = this.speedNow(now);
+      const speed = this.currentSpeed(now);
       if (speed === SpeedState.Slow && next.frame.optional) {
-        this.declineOptional(now);
+        this.declineQueuedOptional(now);
         continue;
       }
       if (speed !== SpeedState.Fast && now < this.latestStart(next)) return;
       this.queue.remove(next.executionId);
-      const call = this.calls.execution(next.executionId);
+      const call = this.calls.findByExecutionId(next.executionId);
       if (call === undefined) continue;
       if (this.isTooLate(call, now)) {
         this.decline(call, DeclineReason.DeadlineTooShort, 0, now);
@@ -431,38 +456,40 @@
     }
   }
 
-  /** The server's speed; asks for it if the last report is too old. */
-  private speedNow(now: number): SpeedState {
+  /** The speed of the server. Sends a probe if the last report is too old. */
+  private currentSpeed(now: number): SpeedState {
     const state = this.speed.state(now);
-    if (state !== SpeedState.Unknown || !this.speed.isReported) {
+    if (state !== SpeedState.Unknown || !this.speed.hasReports) {
       return state === SpeedState.Slow ? state : SpeedState.Fast;
     }
-    if (this.probes.isAwaited(now)) return state;
-    if (!this.probes.take(now)) return SpeedState.Fast;
+    if (this.probes.isProbePending(now)) return state;
+    if (!this.probes.tryTake(now)) return SpeedState.Fast;
     this.options.port.probe();
     return state;
   }
 
-  /** Until when a request rather waits for a slow moment to pass than starts in it. */
+  /** The latest time until which a request waits for a slowdown to end; after that it starts in spite of it. */
   private latestStart({ enqueuedAt, frame, targetAt }: WaitingRequest): number {
-    const expected = this.work.expected(frame.routeName);
-    const latestInTime = targetAt - expected * this.speed.relative;
+    const expected = this.estimator.expectedServiceMilliseconds(frame.routeName);
+    const latestInTime = targetAt - expected * this.speed.relativeSlowdown;
     if (latestInTime >= enqueuedAt) return latestInTime;
-    const hold = frame.nested ? nestedHoldMilliseconds : holdMilliseconds;
-    return Math.max(targetAt - expected, enqueuedAt + hold);
+    const maximumWait = frame.nested ? nestedSlowdownWaitMilliseconds : slowdownWaitMilliseconds;
+    return Math.max(targetAt - expected, enqueuedAt + maximumWait);
   }
 
-  /** In a slow moment other gates are the better choice for those who may go there. */
-  private declineOptional(now: number): void {
+  /** Declines optional requests during a slowdown, since other gates may serve them sooner. */
+  private declineQueuedOptional(now: number): void {
     for (const waiting of [...this.queue.values()]) {
       if (!waiting.frame.optional) continue;
-      const expected = slowRestMilliseconds + this.work.expected(waiting.frame.routeName);
+      const expected =
+        slowdownRemainderMilliseconds +
+        this.estimator.expectedServiceMilliseconds(waiting.frame.routeName);
       this.declineQueued(waiting, DeclineReason.Busy, expected, now);
     }
   }
 
   private run(call: GateCall, now: number): void {
-    const { instanceId } = this.lifetime;
+    const { instanceId } = this.serverTracker;
     if (instanceId === undefined) {
       this.decline(call, DeclineReason.NoServer, 0, now);
       return;
@@ -471,27 +498,27 @@
     call.startedAt = now;
     const { deadline, executionId, frame } = call;
     this.running += 1;
-    this.activeAt = now;
+    this.lastActivityAt = now;
     if (frame.nested) this.nestedRunning += 1;
-    else if (now - call.arrivedAt > 0) this.startRate.started(now);
+    else if (now - call.arrivedAt > 0) this.startRate.recordStart(now);
     call.runningAtStart = this.running;
-    call.startedFast = this.speed.state(now) === SpeedState.Fast;
-    call.slowdownAtStart = this.speed.isReported ? this.speed.current : 1;
+    call.isFastAtStart = this.speed.state(now) === SpeedState.Fast;
+    call.slowdownAtStart = this.speed.hasReports ? this.speed.currentSlowdown : 1;
     const execution: Execution = { deadline, executionId, frame, instanceId };
-    call.speedAgeAtStart = this.speed.age(now);
+    call.slowdownAgeAtStart = this.speed.reportAge(now);
     this.log(GateEventName.RequestStarted, call, this.startFields(call));
     this.options.port.run(execution);
   }
 
-  /** What the gate knew when it started a request. */
+  /** Log fields that describe the state of the gate when it started the request. */
   private startFields(call: GateCall): GateEvent['fields'] {
-    const { frame, runningAtStart, slowdownAtStart, speedAgeAtStart, startedAt } = call;
+    const { frame, runningAtStart, slowdownAtStart, slowdownAgeAtStart, startedAt } = call;
     return {
       limit: this.limitFor(frame),
       running: runningAtStart,
       slowdown: slowdownAtStart,
       waited: Math.round(startedAt - call.arrivedAt),
-      ...(Number.isFinite(speedAgeAtStart) && { slowdownAge: Math.round(speedAgeAtStart) }),
+      ...(Number.isFinite(slowdownAgeAtStart) && { slowdownAge: Math.round(slowdownAgeAtStart) }),
     };
   }
 
@@ -507,7 +534,7 @@
     });
   }
 
-  private replyOf(call: GateCall, result: ExecutionResult, now: number): ReplyFrame {
+  private toReply(call: GateCall, result: ExecutionResult, now: number): ReplyFrame {
     const { callId } = call.frame;
     const load = this.load(now);
     switch (result.kind) {
@@ -532,7 +559,7 @@
     this.log(GateEventName.RequestDeclined, call, {
       expected: Math.round(expected),
       limit: this.limitFor(call.frame),
-      needed: Math.round(this.work.needed(call.frame.routeName)),
+      needed: Math.round(this.estimator.minimumMilliseconds(call.frame.routeName)),
       reason,
       remaining: Math.round(call.deadline - now),
       running: this.running,
@@ -548,7 +575,7 @@
     this.finish(call, frame, now);
   }
 
-  private declineWaiting(reason: DeclineReason, now: number): void {
+  private declineAllQueued(reason: DeclineReason, now: number): void {
     for (const waiting of [...this.queue.values()]) this.declineQueued(waiting, reason, 0, now);
   }
 
@@ -559,7 +586,7 @@
     now: number,
   ): void {
     this.queue.remove(executionId);
-    const call = this.calls.execution(executionId);
+    const call = this.calls.findByExecutionId(executionId);
     if (call !== undefined) this.decline(call, reason, expected, now);
   }
 
@@ -579,17 +606,17 @@
       case ReportEffect.Started:
         log({
           event: GateEventName.ServerReady,
-          fields: { instance: instanceId, slots: this.lifetime.slots },
+          fields: { instance: instanceId, slots: this.serverTracker.slots },
         });
-        port.loadChanged();
+        port.onStateChanged();
         return;
       case ReportEffect.Draining:
         log({
           event: GateEventName.ServerDraining,
           fields: { instance: instanceId, running: this.running, waiting: this.queue.size },
         });
-        this.declineWaiting(DeclineReason.Draining, now);
-        port.loadChanged();
+        this.declineAllQueued(DeclineReason.Draining, now);
+        port.onStateChanged();
     }
   }
 
@@ -605,7 +632,7 @@
   }
 }
 
-function waitingOf(call: GateCall, now: number): WaitingRequest {
+function toWaitingRequest(call: GateCall, now: number): WaitingRequest {
   const { deadline, executionId, frame, targetAt } = call;
   return { deadline, enqueuedAt: now, executionId, frame, targetAt };
 }
--- a/packages/mesh-core/src/gate/server-lifetime.ts
+++ b/packages/mesh-core/src/gate/server-incarnation-tracker.ts
@@ -2,20 +2,20 @@
 import type { EndedServer } from '../messages/mesh-frames.js';
 import type { ServerReport } from './gate-contract.js';
 
-/** What a report changed. */
+/** Effect of a server report. */
 export const ReportEffect = {
-  /** The report is older than what is known, or of a lifetime that has ended. */
+  /** The report is outdated, or belongs to an incarnation that has ended. */
   Ignored: 'ignored',
   Unchanged: 'unchanged',
-  /** A lifetime began that was not known. */
+  /** A new incarnation became the current one. */
   Started: 'started',
   Draining: 'draining',
 } as const;
 export type ReportEffect = (typeof ReportEffect)[keyof typeof ReportEffect];
 
-interface Lifetime {
+interface Incarnation {
   readonly instanceId: string;
-  /** Unknown while only a health check has told of the lifetime. */
+  /** Undefined while the incarnation is known only from a health check. */
   startedAt: number | undefined;
   sequence: number;
   slots: number;
@@ -24,13 +24,13 @@
 }
 
 /**
- * Which lifetime of the server is in force. Reports may arrive late, out of order, and after the
- * lifetime that they speak of has ended; a server may start again under its old identifier.
+ * Tracks the current incarnation of the server. Reports may arrive late, out of order, and after the
+ * incarnation that sent them has ended; a restarted server may reuse its identifier.
  */
-export class ServerLifetime {
-  private current: Lifetime | undefined;
-  /** Lifetimes that left or were replaced, with their time of start. */
-  private readonly ended = new Map<string, number | undefined>();
+export class ServerIncarnationTracker {
+  private current: Incarnation | undefined;
+  /** Start times of incarnations that left or were replaced, by instance identifier. */
+  private readonly endedStarts = new Map<string, number | undefined>();
 
   public get state(): ServerState {
     return this.current?.state ?? ServerState.Absent;
@@ -40,18 +40,18 @@
     return this.current?.instanceId;
   }
 
-  /** Whether the server said that it leaves, and no other has come since. */
+  /** Whether the server has announced that it drains or leaves, and no other has started since. */
   public get hasLeft(): boolean {
     if (this.current !== undefined) return this.current.state === ServerState.Draining;
-    return this.ended.size > 0;
+    return this.endedStarts.size > 0;
   }
 
-  /** The lifetime that drains, or the one that ended last. */
+  /** The incarnation that is draining, or the one that ended last. */
   public get lastEnded(): EndedServer | undefined {
     if (this.current?.state === ServerState.Draining) {
       return { instanceId: this.current.instanceId, startedAt: this.current.startedAt };
     }
-    const [instanceId, startedAt] = [...this.ended].at(-1) ?? [];
+    const [instanceId, startedAt] = [...this.endedStarts].at(-1) ?? [];
     return instanceId === undefined ? undefined : { instanceId, startedAt };
   }
 
@@ -63,25 +63,26 @@
     return (this.current?.coldUntil ?? 0) > now;
   }
 
-  public report(report: ServerReport, now: number): ReportEffect {
-    if (this.isEnded(report)) return ReportEffect.Ignored;
+  public onReport(report: ServerReport, now: number): ReportEffect {
+    if (this.hasEnded(report)) return ReportEffect.Ignored;
     const { current } = this;
-    if (current === undefined || !isSameLifetime(current, report)) return this.start(report, now);
+    if (current === undefined || !isSameIncarnation(current, report))
+      return this.startIncarnation(report, now);
     if (report.sequence < current.sequence) return ReportEffect.Ignored;
-    // Without it, the next lifetime under the same identifier would be taken for this one.
+    // Without its start, the next incarnation under the same identifier would be taken for this one.
     current.startedAt ??= report.startedAt;
     current.sequence = report.sequence;
     current.slots = report.slots;
-    // A report that was sent before the server began to drain must not open the gate again.
+    // A report that was sent before the server began to drain must not reopen the gate.
     if (!report.draining || current.state === ServerState.Draining) return ReportEffect.Unchanged;
     current.state = ServerState.Draining;
     return ReportEffect.Draining;
   }
 
-  /** The server answered a health check: it is up under this identifier. */
-  public seen(instanceId: string, slots: number, now: number): ReportEffect {
+  /** Handles a successful health check: a server is running under this identifier. */
+  public onHealthCheckPassed(instanceId: string, slots: number, now: number): ReportEffect {
     if (this.current?.instanceId === instanceId) return ReportEffect.Unchanged;
-    return this.report(
+    return this.onReport(
       {
         coldMilliseconds: 0,
         draining: false,
@@ -94,18 +95,24 @@
     );
   }
 
-  /** The server says that it leaves. True if it was the lifetime in force. */
-  public leave(instanceId: string): boolean {
+  /** Handles the announcement of a server that it leaves. Returns whether it was the current incarnation. */
+  public onLeaving(instanceId: string): boolean {
     const { current } = this;
-    this.remember(instanceId, current?.instanceId === instanceId ? current.startedAt : undefined);
+    this.recordEnded(
+      instanceId,
+      current?.instanceId === instanceId ? current.startedAt : undefined,
+    );
     if (current?.instanceId !== instanceId) return false;
     this.current = undefined;
     return true;
   }
 
-  /** An earlier life of this process confirmed that a server drains or left. True if it was in force. */
-  public endedBefore({ instanceId, startedAt }: EndedServer): boolean {
-    this.remember(instanceId, startedAt);
+  /**
+   * Handles the report that an earlier incarnation of this process confirmed the drain or end of a server.
+   * Returns whether it was the current incarnation.
+   */
+  public onEndReported({ instanceId, startedAt }: EndedServer): boolean {
+    this.recordEnded(instanceId, startedAt);
     const { current } = this;
     if (current?.instanceId !== instanceId) return false;
     if ((current.startedAt ?? 0) > (startedAt ?? Infinity)) return false;
@@ -113,12 +120,12 @@
     return true;
   }
 
-  private start(report: ServerReport, now: number): ReportEffect {
+  private startIncarnation(report: ServerReport, now: number): ReportEffect {
     const { current } = this;
     if (current !== undefined) {
       if (isOlder(report, current)) return ReportEffect.Ignored;
       if (current.instanceId !== report.instanceId) {
-        this.remember(current.instanceId, current.startedAt);
+        this.recordEnded(current.instanceId, current.startedAt);
       }
     }
     this.current = {
@@ -132,28 +139,31 @@
     return report.draining ? ReportEffect.Draining : ReportEffect.Started;
   }
 
-  private isEnded({ instanceId, startedAt }: ServerReport): boolean {
-    if (!this.ended.has(instanceId)) return false;
-    const endedStart = this.ended.get(instanceId);
+  private hasEnded({ instanceId, startedAt }: ServerReport): boolean {
+    if (!this.endedStarts.has(instanceId)) return false;
+    const endedStart = this.endedStarts.get(instanceId);
     return startedAt === undefined || endedStart === undefined || startedAt <= endedStart;
   }
 
-  /** Without a start, every lifetime of the identifier has ended; one that is known is kept. */
-  private remember(instanceId: string, startedAt: number | undefined): void {
-    const known = this.ended.get(instanceId);
+  /**
+   * Records an ended incarnation. If no start is known, all incarnations with the identifier count as ended;
+   * a start that is known already is kept.
+   */
+  private recordEnded(instanceId: string, startedAt: number | undefined): void {
+    const known = this.endedStarts.get(instanceId);
     const newest = Math.max(startedAt ?? -Infinity, known ?? -Infinity);
-    this.ended.delete(instanceId);
-    this.ended.set(instanceId, newest === -Infinity ? undefined : newest);
-    if (this.ended.size <= rememberedLifetimes) return;
-    const [oldest] = this.ended.keys();
-    if (oldest !== undefined) this.ended.delete(oldest);
+    this.endedStarts.delete(instanceId);
+    this.endedStarts.set(instanceId, newest === -Infinity ? undefined : newest);
+    if (this.endedStarts.size <= maximumEndedIncarnations) return;
+    const [oldest] = this.endedStarts.keys();
+    if (oldest !== undefined) this.endedStarts.delete(oldest);
   }
 }
 
-/** Ended lifetimes that are remembered; one machine sees a handful of servers in its life. */
-const rememberedLifetimes = 64;
+/** Maximum number of ended incarnations that are kept; a machine runs only a handful of servers in its lifetime. */
+const maximumEndedIncarnations = 64;
 
-function isSameLifetime(current: Lifetime, report: ServerReport): boolean {
+function isSameIncarnation(current: Incarnation, report: ServerReport): boolean {
   if (current.instanceId !== report.instanceId) return false;
   return (
     current.startedAt === undefined ||
@@ -162,7 +172,7 @@
   );
 }
 
-function isOlder(report: ServerReport, current: Lifetime): boolean {
+function isOlder(report: ServerReport, current: Incarnation): boolean {
   if (report.startedAt === undefined || current.startedAt === undefined) return false;
   return report.startedAt < current.startedAt;
 }
--- a/packages/mesh-core/src/gate/start-rate.ts
+++ b/packages/mesh-core/src/gate/start-rate.ts
@@ -1,25 +1,25 @@
-/** Starts that are looked at. */
-const keptStarts = 8;
-/** Fewer starts than this say nothing about the rate. */
-const neededStarts = 4;
-/** Starts that are older than this say nothing about the present. */
-const recentMilliseconds = 1_000;
+/** Number of latest starts that are kept. */
+const maximumStarts = 8;
+/** Minimum number of recent starts from which a rate is derived. */
+const minimumStarts = 4;
+/** Age after which a start is no longer considered. */
+const windowMilliseconds = 1_000;
 
-/** How fast waiting requests get to start, whatever goes before them. */
+/** Measures how often queued requests are started, whatever requests precede them. */
 export class StartRate {
   private readonly starts: number[] = [];
 
-  /** A request that had waited was started. */
-  public started(now: number): void {
+  /** Records the start of a request that had waited. */
+  public recordStart(now: number): void {
     this.starts.push(now);
-    if (this.starts.length > keptStarts) this.starts.shift();
+    if (this.starts.length > maximumStarts) this.starts.shift();
   }
 
-  /** Mean time between two starts; undefined while too little is known. */
+  /** Mean interval between two starts; undefined if there are too few recent starts. */
   public intervalMilliseconds(now: number): number | undefined {
-    const recent = this.starts.filter((start) => now - start < recentMilliseconds);
+    const recent = this.starts.filter((start) => now - start < windowMilliseconds);
     const [first] = recent;
-    if (first === undefined || recent.length < neededStarts) return undefined;
+    if (first === undefined || recent.length < minimumStarts) return undefined;
     return (now - first) / recent.length;
   }
 }
--- a/packages/mesh-core/src/index.ts
+++ b/packages/mesh-core/src/index.ts
@@ -1,9 +1,9 @@
-export { RepeatBudget } from './budget/repeat-budget.js';
-export type { RepeatBudgetOptions } from './budget/repeat-budget.js';
+export { RetryBudget } from './budget/retry-budget.js';
+export type { RetryBudgetOptions } from './budget/retry-budget.js';
 export { ConfigurationHolder, OfferResult } from './configuration/configuration-holder.js';
 export type { ConfigurationInForce } from './configuration/configuration-holder.js';
-export { ConfigurationPull } from './configuration/configuration-pull.js';
-export { WatchDuty } from './configuration/watch-duty.js';
+export { ConfigurationPullScheduler } from './configuration/configuration-pull-scheduler.js';
+export { StoreWatchElection } from './configuration/store-watch-election.js';
 export { EntryEventName, RefusalCause, UnknownCause } from './entry/entry-contract.js';
 export type { EntryEvent, EntryOutcome, EntryPort, EntryRequest } from './entry/entry-contract.js';
 export { RequestForwarder } from './entry/request-forwarder.js';
@@ -20,7 +20,7 @@
 export { LoadAnnouncer } from './gate/load-announcer.js';
 export { ServerGate } from './gate/server-gate.js';
 export type { ServerGateOptions } from './gate/server-gate.js';
-export { ReportEffect, ServerLifetime } from './gate/server-lifetime.js';
+export { ReportEffect, ServerIncarnationTracker } from './gate/server-incarnation-tracker.js';
 export { EndedServers } from './membership/ended-servers.js';
 export { NodeDirectory } from './membership/node-directory.js';
 export { maximumFullMeshNodes, PeerSelection } from './membership/peer-selection.js';
--- a/packages/mesh-core/src/shared/route-map.ts
+++ b/packages/mesh-core/src/shared/route-map.ts
@@ -1,4 +1,4 @@
-/** What is kept for each route, by its name. */
+/** Map of values by the name of their route. */
 export class RouteMap<Value> extends Map<string, Value> {
   public getOrCreate(routeName: string, create: () => Value): Value {
     const known = this.get(routeName);
@@ -8,7 +8,7 @@
     return created;
   }
 
-  /** Forgets routes that are no longer declared. */
+  /** Removes the routes that are no longer configured. */
   public retain(routeNames: ReadonlySet<string>): void {
     for (const name of this.keys()) if (!routeNames.has(name)) this.delete(name);
   }
--- a/packages/mesh-core/src/shared/same-zone.ts
+++ b/packages/mesh-core/src/shared/same-zone.ts
@@ -1,10 +1,10 @@
-/** Where a node is. */
+/** Availability zone and region of a node. */
 export interface Location {
   readonly availabilityZone: string;
   readonly region: string;
 }
 
-/** Whether traffic between two nodes stays in one availability zone; regions may use a name of a zone again. */
+/** Whether two nodes are in the same availability zone. The names of zones are unique only within a region. */
 export function isSameZone(first: Location, second: Location): boolean {
   return first.availabilityZone === second.availabilityZone && first.region === second.region;
 }
--- a/packages/mesh-core/tests/entry/request-forwarder.test.ts
+++ b/packages/mesh-core/tests/entry/request-forwarder.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { PlacementPolicy, RepeatBudget, RequestForwarder, GateTable } from '../../src/index.js';
+import { PlacementPolicy, RetryBudget, RequestForwarder, GateTable } from '../../src/index.js';
 import type {
   DeclinedFrame,
   EntryEvent,
@@ -33,7 +33,7 @@
     const random = new SeededRandomSource(1);
     for (const name of names) this.gates.onConnected(createNode(name), createLoad(), 0);
     this.forwarder = new RequestForwarder({
-      retryBudget: new RepeatBudget({ ratio: 0, slack: retrySlack, windowMilliseconds: 10_000 }),
+      retryBudget: new RetryBudget({ ratio: 0, slack: retrySlack, windowMilliseconds: 10_000 }),
       callerService: 'web',
       log: (event) => this.events.push(event),
       placementPolicy: new PlacementPolicy({
--- a/packages/mesh-core/tests/gate/load-announcer.test.ts
+++ b/packages/mesh-core/tests/gate/load-announcer.test.ts
@@ -4,74 +4,77 @@
 import { LoadAnnouncer } from '../../src/index.js';
 import { createLoad } from '../fixtures.js';
 
-test('nodes that send requests are told of a change, near ones sooner', () => {
+test('reports changes to nodes that send requests, sooner to those in the same zone', () => {
   const announcer = new LoadAnnouncer();
-  announcer.requested('near', true, 0);
-  announcer.requested('far', false, 0);
-  assert.equal(announcer.due(createLoad({ running: 1 }), 10), []);
-  assert.equal(announcer.due(createLoad({ running: 1 }), 40), ['near']);
-  assert.equal(announcer.due(createLoad({ running: 1 }), 300), ['far']);
+  announcer.onRequest('near', true, 0);
+  announcer.onRequest('far', false, 0);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 1 }), 10), []);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 1 }), 40), ['near']);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 1 }), 300), ['far']);
 });
 
-test('nothing is told twice, and nothing that a reply told already', () => {
+test('does not report a load twice, nor one that a reply has carried', () => {
   const announcer = new LoadAnnouncer();
-  announcer.requested('near', true, 0);
-  announcer.told('near', createLoad({ running: 2 }), 0);
-  assert.equal(announcer.due(createLoad({ running: 2 }), 100), []);
-  assert.equal(announcer.due(createLoad({ running: 3 }), 100), ['near']);
-  assert.equal(announcer.due(createLoad({ running: 3 }), 200), []);
+  announcer.onRequest('near', true, 0);
+  announcer.onReplySent('near', createLoad({ running: 2 }), 0);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 2 }), 100), []);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 3 }), 100), ['near']);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 3 }), 200), []);
 });
 
-test('a node that sends no more requests costs no more messages', () => {
+test('sends no reports to a node that has stopped sending requests', () => {
   const announcer = new LoadAnnouncer();
-  announcer.requested('near', true, 0);
-  assert.equal(announcer.due(createLoad({ running: 1 }), 4_000), []);
+  announcer.onRequest('near', true, 0);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 1 }), 4_000), []);
 });
 
-// In a fleet of 74 nodes, nodes that use a gate every few seconds made up most of those that were told.
-test('a node is told for a second after its last request', () => {
+// In a fleet of 74 nodes, most of the nodes that received reports used the gate only every few seconds.
+test('reports to a node for one second after its last request', () => {
   const announcer = new LoadAnnouncer();
-  announcer.requested('seldom', true, 0);
-  announcer.requested('often', true, 300);
-  assert.equal(announcer.due(createLoad({ running: 1 }), 1_200), ['often']);
-  announcer.requested('seldom', true, 1_300);
-  assert.equal(announcer.due(createLoad({ running: 2 }), 1_400), ['seldom']);
+  announcer.onRequest('seldom', true, 0);
+  announcer.onRequest('often', true, 300);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 1 }), 1_200), ['often']);
+  announcer.onRequest('seldom', true, 1_300);
+  assert.equal(announcer.takeDueNodes(createLoad({ running: 2 }), 1_400), ['seldom']);
 });
 
-/** Reports of a gate whose load changes all the time, in four seconds after the first ones. */
-function reportsUnderLoad(nearNodes: number, farNodes: number): number {
+/** Number of reports of a gate whose load changes constantly, in the four seconds after the first second. */
+function reportsUnderLoad(sameZoneNodes: number, otherZoneNodes: number): number {
   const announcer = new LoadAnnouncer();
   let reports = 0;
   for (let now = 0; now <= 5_000; now += 10) {
-    for (let node = 0; node < nearNodes + farNodes; node += 1) {
-      announcer.requested(`node-${node}`, node < nearNodes, now);
+    for (let node = 0; node < sameZoneNodes + otherZoneNodes; node += 1) {
+      announcer.onRequest(`node-${node}`, node < sameZoneNodes, now);
     }
-    const due = announcer.due(createLoad({ running: now % 70 }), now);
+    const due = announcer.takeDueNodes(createLoad({ running: now % 70 }), now);
     if (now > 1_000) reports += due.length;
   }
   return reports;
 }
 
-// Each change was told to each near node, so the reports between nodes grew with the square of their number.
-test('the reports under load do not grow with the number of nodes', () => {
+// Each change used to be reported to each node of the zone, so the reports grew with the square of their number.
+test('sends no more reports under load when there are more nodes', () => {
   const small = reportsUnderLoad(5, 10);
-  for (const [near, far] of [
+  for (const [sameZone, otherZones] of [
     [20, 40],
     [40, 120],
   ] as const) {
-    const large = reportsUnderLoad(near, far);
-    assert.ok(large <= small * 1.1, `${large} reports to ${near + far} nodes, ${small} to 15`);
+    const large = reportsUnderLoad(sameZone, otherZones);
+    assert.ok(
+      large <= small * 1.1,
+      `${large} reports to ${sameZone + otherZones} nodes, ${small} to 15`,
+    );
   }
 });
 
-test('a server that turns slow or stops taking requests is told soon, whatever the number of nodes', () => {
+test('reports a slowdown or a drain at the minimum interval, whatever the number of nodes', () => {
   const announcer = new LoadAnnouncer();
-  for (let index = 0; index < 40; index += 1) announcer.requested(`near-${index}`, true, 0);
-  assert.is(announcer.due(createLoad({ running: 1 }), 240).length, 40);
-  assert.is(announcer.due(createLoad({ running: 2 }), 280).length, 0);
-  assert.is(announcer.due(createLoad({ running: 2, slowdown: 5 }), 290).length, 40);
+  for (let index = 0; index < 40; index += 1) announcer.onRequest(`near-${index}`, true, 0);
+  assert.is(announcer.takeDueNodes(createLoad({ running: 1 }), 240).length, 40);
+  assert.is(announcer.takeDueNodes(createLoad({ running: 2 }), 280).length, 0);
+  assert.is(announcer.takeDueNodes(createLoad({ running: 2, slowdown: 5 }), 290).length, 40);
   assert.is(
-    announcer.due(createLoad({ running: 2, slowdown: 5, state: 'draining' }), 330).length,
+    announcer.takeDueNodes(createLoad({ running: 2, slowdown: 5, state: 'draining' }), 330).length,
     40,
   );
 });
--- a/packages/mesh-core/tests/gate/start-rate.test.ts
+++ b/packages/mesh-core/tests/gate/start-rate.test.ts
@@ -3,17 +3,17 @@
 
 import { StartRate } from '../../src/gate/start-rate.js';
 
-test('the mean time between starts is told once a few are known', () => {
+test('returns the mean interval once there are enough starts', () => {
   const rate = new StartRate();
-  for (const now of [0, 100, 200]) rate.started(now);
+  for (const now of [0, 100, 200]) rate.recordStart(now);
   assert.is(rate.intervalMilliseconds(200), undefined);
-  rate.started(300);
+  rate.recordStart(300);
   assert.is(rate.intervalMilliseconds(300), 75);
 });
 
-test('a queue that stands still has a growing interval, and old starts say nothing', () => {
+test('returns a growing interval while nothing starts, and ignores old starts', () => {
   const rate = new StartRate();
-  for (const now of [0, 10, 20, 30]) rate.started(now);
+  for (const now of [0, 10, 20, 30]) rate.recordStart(now);
   assert.ok((rate.intervalMilliseconds(800) ?? 0) >= 190);
   assert.is(rate.intervalMilliseconds(2_000), undefined);
 });
--- a/packages/mesh-core/tests/shared/route-map.test.ts
+++ b/packages/mesh-core/tests/shared/route-map.test.ts
@@ -3,7 +3,7 @@
 
 import { RouteMap } from '../../src/shared/route-map.js';
 
-test('a value is created once for each route', () => {
+test('creates a value once for each route', () => {
   const map = new RouteMap<string[]>();
   map.getOrCreate('orders', () => []).push('first');
   map.getOrCreate('orders', () => []).push('second');
@@ -14,8 +14,8 @@
   );
 });
 
-// Values of routes that come and go with each configuration would fill the node's memory.
-test('routes that are no longer declared are forgotten, the others are kept', () => {
+// Otherwise the values of routes that are added and removed by configuration changes would accumulate in memory.
+test('removes routes that are no longer configured and keeps the others', () => {
   const map = new RouteMap<number>([
     ['orders', 1],
     ['others', 2],
