--- a/packages/daemon/src/logging/enable-roarr.ts
+++ b/packages/daemon/src/logging/enable-roarr.ts
@@ -1,3 +1,3 @@
-// Roarr discards every message unless this variable is set when it is loaded, so this module has to be
-// imported before it.
+// Roarr discards all messages unless this variable is set when roarr is loaded, so this module must be
+// imported before roarr.
 process.env.ROARR_LOG = 'true';
--- a/packages/daemon/src/logging/format-line.ts
+++ b/packages/daemon/src/logging/format-line.ts
@@ -2,26 +2,25 @@
 export const logLevels = ['debug', 'info', 'warn', 'error'] as const;
 export type LogLevel = (typeof logLevels)[number];
 
-/** A value of a log field. */
 export type LogValue = boolean | number | string;
 
-/** An event as it is written to the log. */
+/** An event to be written to the log. */
 export interface LogRecord {
-  /** Wall time in milliseconds. */
+  /** Wall-clock time in milliseconds since the Unix epoch. */
   readonly time: number;
   readonly level: LogLevel;
   readonly event: string;
   readonly fields: Readonly<Record<string, LogValue>>;
 }
 
-/** A longer value is cut, so that a caller can't fill the log with one request. */
+/** Longer values are truncated, so that a caller cannot fill the log with a single request. */
 export const maximumValueLength = 1_024;
 
-const bareValue = /^[A-Za-z0-9_.:/@+,%-]+$/;
+const unquotedValue = /^[A-Za-z0-9_.:/@+,%-]+$/;
 
 /**
- * Everything that could end a line, move a terminal's cursor or reorder the text on a screen: control
- * characters, line and paragraph separators, marks of writing direction, and halves of surrogate pairs.
+ * Characters that could end a line, move the cursor of a terminal or reorder displayed text: control characters,
+ * line and paragraph separators, zero-width and bidirectional formatting characters, and lone surrogates.
  */
 const unsafeCharacter =
   // eslint-disable-next-line no-control-regex
@@ -34,27 +33,27 @@
   return shortEscapes[character] ?? `\\u${code}`;
 }
 
-/** Writes a value so that it can't be taken for another key, another value or another line. */
+/** Quotes and escapes a value where needed, so that it cannot be read as another key, value or line. */
 export function formatValue(value: LogValue): string {
   if (typeof value !== 'string') return String(value);
-  if (value.length <= maximumValueLength && bareValue.test(value)) return value;
-  const isCut = value.length > maximumValueLength;
-  const kept = isCut ? `${value.slice(0, maximumValueLength)}…` : value;
-  const escaped = kept.replace(/["\\]/g, '\\$&').replace(unsafeCharacter, escapeCharacter);
+  if (value.length <= maximumValueLength && unquotedValue.test(value)) return value;
+  const isTruncated = value.length > maximumValueLength;
+  const truncated = isTruncated ? `${value.slice(0, maximumValueLength)}…` : value;
+  const escaped = truncated.replace(/["\\]/g, '\\$&').replace(unsafeCharacter, escapeCharacter);
   return `"${escaped}"`;
 }
 
 const reservedKeys: ReadonlySet<string> = new Set(['event', 'level', 'time']);
 
 function formatKey(key: string): string {
-  const clean = key.replace(/[^A-Za-z0-9_]/g, '_').slice(0, 64) || '_';
-  // A field called `level` must not look like the level of the line.
-  return reservedKeys.has(clean) ? `field_${clean}` : clean;
+  const sanitized = key.replace(/[^A-Za-z0-9_]/g, '_').slice(0, 64) || '_';
+  // A field named `level`, for example, must not look like the level of the line.
+  return reservedKeys.has(sanitized) ? `field_${sanitized}` : sanitized;
 }
 
-/** Formats an event as one line of `key=value` pairs, without a line break at its end. */
+/** Formats an event as one line of `key=value` pairs without a trailing line break. */
 export function formatLine(record: LogRecord): string {
-  const head = [
+  const prefix = [
     `time=${new Date(record.time).toISOString()}`,
     `level=${record.level}`,
     `event=${formatValue(record.event)}`,
@@ -62,5 +61,5 @@
   const fields = Object.entries(record.fields).map(
     ([key, value]) => `${formatKey(key)}=${formatValue(value)}`,
   );
-  return [...head, ...fields].join(' ');
+  return [...prefix, ...fields].join(' ');
 }
--- a/packages/daemon/src/logging/line-writer.ts
+++ b/packages/daemon/src/logging/line-writer.ts
@@ -1,18 +1,19 @@
 /**
- * Lines are written together after this time. Each write takes a thread of the runtime and some five system calls,
- * a fifth of those of a node with 8 requests a second when it was 50 ms. A process that is killed loses these lines.
+ * Lines are written in batches after this delay. Each write occupies a thread of the runtime's pool and takes about
+ * five system calls; with 50 ms these were a fifth of all system calls of a node with 8 requests per second. A killed
+ * process loses the lines that have not been written.
  */
-const flushMilliseconds = 200;
-/** Bytes that may wait for a reader that does not read; later lines are dropped and counted. */
-const maximumWaitingBytes = 262_144;
+const flushDelayMilliseconds = 200;
+/** Maximum number of buffered bytes if the reader is slow; further lines are dropped and counted. */
+const maximumPendingBytes = 262_144;
 
-/** Codes of errors that say that the reader is slow, not gone. */
-const retriedErrorCodes: ReadonlySet<string | undefined> = new Set(['EAGAIN', 'EINTR']);
-const retryMilliseconds = 50;
-const lineBreak = 10;
+/** Error codes that mean that the reader is slow, not gone. */
+const transientErrorCodes: ReadonlySet<string | undefined> = new Set(['EAGAIN', 'EINTR']);
+const retryDelayMilliseconds = 50;
+const lineFeedByte = 10;
 
 export interface LineWriterOptions {
-  /** Writes bytes without blocking the process and calls back with how many it took. */
+  /** Writes bytes without blocking and calls back with the number of bytes written. */
   readonly write: (
     bytes: Uint8Array,
     done: (error: NodeJS.ErrnoException | null, written: number) => void,
@@ -21,62 +22,62 @@
 }
 
 /**
- * Writes log lines without ever waiting for their reader: a reader that stops costs lines, which are
- * counted, but no request.
+ * Writes log lines without blocking the process. If the reader stops reading, lines are dropped and counted, and
+ * requests are not affected.
  */
 export class LineWriter {
-  private waiting: string[] = [];
-  private waitingBytes = 0;
-  private dropped = 0;
+  private pendingLines: string[] = [];
+  private pendingBytes = 0;
+  private droppedCount = 0;
   private isWriting = false;
   private timer: NodeJS.Timeout | undefined;
 
   public constructor(private readonly options: LineWriterOptions) {}
 
-  /** Lines that were dropped and not yet reported. */
+  /** Number of dropped lines that have not been reported in the log yet. */
   public get droppedLines(): number {
-    return this.dropped;
+    return this.droppedCount;
   }
 
   public write(line: string): void {
-    if (this.waitingBytes + line.length > (this.options.maximumBytes ?? maximumWaitingBytes)) {
-      this.dropped += 1;
+    if (this.pendingBytes + line.length > (this.options.maximumBytes ?? maximumPendingBytes)) {
+      this.droppedCount += 1;
       return;
     }
-    this.waiting.push(line);
-    this.waitingBytes += line.length;
+    this.pendingLines.push(line);
+    this.pendingBytes += line.length;
     this.timer ??= setTimeout(() => {
       this.flush();
-    }, flushMilliseconds);
+    }, flushDelayMilliseconds);
   }
 
-  /** Hands over what waits; used before the process ends. */
+  /** Writes the pending lines now; also called before the process exits. */
   public flush(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
-    if (this.isWriting || this.waiting.length === 0) return;
-    if (this.dropped > 0) {
-      this.waiting.push(`level=warn event=log-lines-dropped count=${this.dropped}\n`);
-      this.dropped = 0;
+    if (this.isWriting || this.pendingLines.length === 0) return;
+    if (this.droppedCount > 0) {
+      this.pendingLines.push(`level=warn event=log-lines-dropped count=${this.droppedCount}\n`);
+      this.droppedCount = 0;
     }
-    const bytes = Buffer.from(this.waiting.join(''));
-    this.waiting = [];
+    const bytes = Buffer.from(this.pendingLines.join(''));
+    this.pendingLines = [];
     this.isWriting = true;
     this.writeRest(bytes);
   }
 
-  /** A pipe takes as much as it has room for, and an error at all if it has none. */
+  /** A pipe accepts only as many bytes as it has room for, and reports an error if it has no room at all. */
   private writeRest(bytes: Uint8Array): void {
     this.options.write(bytes, (error, written) => {
-      if (retriedErrorCodes.has(error?.code)) {
+      if (transientErrorCodes.has(error?.code)) {
         setTimeout(() => {
           this.writeRest(bytes);
-        }, retryMilliseconds);
+        }, retryDelayMilliseconds);
         return;
       }
-      if (error !== null) this.dropped += bytes.filter((byte) => byte === lineBreak).length;
+      if (error !== null) this.droppedCount += bytes.filter((byte) => byte === lineFeedByte).length;
       const rest = error === null ? bytes.subarray(written) : bytes.subarray(bytes.length);
-      this.waitingBytes -= Math.min(this.waitingBytes, bytes.length - rest.length);
+      this.pendingBytes -= Math.min(this.pendingBytes, bytes.length - rest.length);
       if (rest.length > 0) this.writeRest(rest);
       else {
         this.isWriting = false;
--- a/packages/daemon/src/logging/log-event.ts
+++ b/packages/daemon/src/logging/log-event.ts
@@ -1,6 +1,6 @@
 /**
- * Names of the daemon's own events. They are stable: operators filter and alert by them. The core
- * names its events itself.
+ * Names of the log events of the daemon itself. They are stable, because operators filter and alert by them. The
+ * core package defines the names of its own events.
  */
 export const LogEvent = {
   AddressInUse: 'address-in-use',
--- a/packages/daemon/src/logging/logger.ts
+++ b/packages/daemon/src/logging/logger.ts
@@ -6,13 +6,13 @@
 import { formatLine, logLevels, type LogLevel, type LogValue } from './format-line.js';
 import type { LogEvent } from './log-event.js';
 
-type Fields = Readonly<Record<string, LogValue>>;
+type LogFields = Readonly<Record<string, LogValue>>;
 
 interface RoarrContext {
   readonly event: string;
-  readonly fields: Fields;
+  readonly fields: LogFields;
   readonly level: LogLevel;
-  /** Wall time of an event that is written later than it happened. */
+  /** Wall-clock time of an event that is written later than it occurred. */
   readonly time?: number;
 }
 
@@ -22,8 +22,8 @@
 }
 
 /**
- * Sends every line of roarr to `write`, which gets it with its line break. Roarr keeps its writer in
- * a global, so a process has one.
+ * Passes every line of roarr, including its line break, to `write`. Roarr keeps its writer in a global variable, so
+ * there is one writer per process.
  */
 export function installLogWriter(write: (line: string) => void): void {
   ROARR.serializeMessage = serialize;
@@ -34,37 +34,37 @@
 
 /** Logs events at or above a level. */
 export class Logger {
-  private readonly lowest: number;
+  private readonly minimumLevelIndex: number;
 
-  public constructor(lowestLevel: LogLevel) {
-    this.lowest = logLevels.indexOf(lowestLevel);
+  public constructor(minimumLevel: LogLevel) {
+    this.minimumLevelIndex = logLevels.indexOf(minimumLevel);
   }
 
-  public debug(event: LogEvent, fields: Fields = {}): void {
+  public debug(event: LogEvent, fields: LogFields = {}): void {
     this.write('debug', event, fields);
   }
 
-  public info(event: LogEvent, fields: Fields = {}): void {
+  public info(event: LogEvent, fields: LogFields = {}): void {
     this.write('info', event, fields);
   }
 
-  public warn(event: LogEvent, fields: Fields = {}): void {
+  public warn(event: LogEvent, fields: LogFields = {}): void {
     this.write('warn', event, fields);
   }
 
-  public error(event: LogEvent, fields: Fields = {}): void {
+  public error(event: LogEvent, fields: LogFields = {}): void {
     this.write('error', event, fields);
   }
 
-  /** Logs an event of the core; `time` is when it happened, if that was earlier. */
+  /** Logs an event of the core; `time` is the wall-clock time at which it occurred, if that was earlier. */
   public command(command: LogCommand, time?: number): void {
     this.write(command.level, command.event, command.fields, time);
   }
 
-  private write(level: LogLevel, event: string, fields: Fields, time?: number): void {
-    if (logLevels.indexOf(level) < this.lowest) return;
-    // The fields are nested, so that none of them replaces a property of roarr's context. The message
-    // stays empty, because roarr formats percent signs in it.
+  private write(level: LogLevel, event: string, fields: LogFields, time?: number): void {
+    if (logLevels.indexOf(level) < this.minimumLevelIndex) return;
+    // The fields are nested, so that none of them replaces a property of roarr's context. The message is
+    // empty, because roarr interprets percent signs in it.
     Roarr[level]({ event, fields, level, ...(time !== undefined && { time }) }, '');
   }
 }
--- a/packages/daemon/src/mesh/configuration-follower.ts
+++ b/packages/daemon/src/mesh/configuration-synchronizer.ts
@@ -11,43 +11,43 @@
 import { MeshEvent } from './mesh-event.js';
 import type { DecodedConfiguration } from './platform-adapter.js';
 
-type Fields = Readonly<Record<string, string | number | boolean>>;
+type LogFields = Readonly<Record<string, string | number | boolean>>;
 
-/** What follows the configuration uses to act on the world. */
+/** Connections to peers and the store, through which the synchronizer acts. */
 export interface ConfigurationPorts {
   readonly links: Pick<MeshConnections, 'broadcast' | 'send'>;
   readonly store: {
     watchConfiguration(isWatching: boolean): void;
-    /** Another node has seen this era of the store. */
-    eraTold(era: number): void;
+    /** A peer has observed this era of the store. */
+    observeEra(era: number): void;
   };
 }
 
-export interface ConfigurationFollowerOptions {
+export interface ConfigurationSynchronizerOptions {
   readonly self: MeshNode;
   readonly clock: () => number;
   readonly ports: () => ConfigurationPorts;
   readonly decode: (content: Uint8Array) => DecodedConfiguration;
-  /** A newer configuration is in force. */
-  readonly changed: (configuration: RouteConfiguration) => void;
-  readonly log: (event: string, fields: Fields) => void;
+  /** Called when a newer configuration came into force. */
+  readonly onChange: (configuration: RouteConfiguration) => void;
+  readonly log: (event: string, fields: LogFields) => void;
 }
 
 /**
- * Keeps the newest configuration in force: from the store if this node watches it, and from other nodes
- * otherwise.
+ * Keeps the newest configuration in force. It comes from the store if this node watches the store, and from
+ * peers otherwise.
  */
-export class ConfigurationFollower {
+export class ConfigurationSynchronizer {
   private readonly holder = new ConfigurationHolder();
   private readonly pull: ConfigurationPullScheduler;
   private readonly watchDuty: StoreWatchElection;
-  /** When the configuration in force came into force. */
+  /** Time when the configuration in force was applied; the start time before that. */
   private changedAt: number;
   private newestEra: number | undefined;
-  /** The version that was last refused, so that each is logged once. */
-  private refusedVersion: number | undefined;
+  /** The version that was last rejected, so that repeated reads of it are logged once. */
+  private lastRejectedVersion: number | undefined;
 
-  public constructor(private readonly options: ConfigurationFollowerOptions) {
+  public constructor(private readonly options: ConfigurationSynchronizerOptions) {
     this.pull = new ConfigurationPullScheduler(options.self.name);
     this.watchDuty = new StoreWatchElection(options.self);
     this.changedAt = options.clock();
@@ -65,24 +65,24 @@
     return this.watchDuty.isStoreReachable;
   }
 
-  /** Whether this node watches the store. */
+  /** Whether this node watches the configuration in the store. */
   public get isWatching(): boolean {
     return this.watchDuty.isWatching;
   }
 
-  /** The newest era of the store that this node has seen; undefined if the store has not told any. */
+  /** The newest era of the store that this node has observed; undefined before the first one. */
   public get storeEra(): number | undefined {
     return this.newestEra;
   }
 
-  /** Time since the last change, or since the start. */
+  /** Time since the configuration last changed, or since the start. */
   public ageMilliseconds(now: number): number {
     return now - this.changedAt;
   }
 
-  /** The operators' configuration was read from the store or came from another node. */
-  public read(content: Uint8Array, source: string): void {
-    const { changed, clock, decode, log, ports } = this.options;
+  /** The operators' configuration was read from the store or received from a peer; `source` names which. */
+  public onContentReceived(content: Uint8Array, source: string): void {
+    const { onChange, clock, decode, log, ports } = this.options;
     const decoded = decode(content);
     if (decoded.kind === 'invalid') {
       const { field, message } = decoded;
@@ -93,59 +93,59 @@
     const { routes, version } = configuration;
     const result = this.holder.offer(configuration, content);
     if (result !== OfferResult.InForce) {
-      this.refused(result, version, source);
+      this.logRejection(result, version, source);
       return;
     }
     this.changedAt = clock();
     log(MeshEvent.ConfigurationInForce, { routes: routes.length, source, version });
-    changed(configuration);
+    onChange(configuration);
     ports().links.broadcast({ kind: 'version', version });
   }
 
-  /** The store told its era for the first time, or that it came back from an older copy. */
-  public eraSeen(storeEra: number, isRestored: boolean): void {
+  /** The store's era was read for the first time, or the era shows that the store was restored from a backup. */
+  public onEraObserved(storeEra: number, isRestored: boolean): void {
     this.newestEra = storeEra;
     if (!isRestored) return;
     this.options.log(MeshEvent.StoreRestored, { era: storeEra, version: this.version });
     this.options.ports().links.broadcast({ kind: 'version', storeEra, version: this.version });
   }
 
-  /** Another node told an era of the store, if what it sent is one. */
-  public eraTold(era: unknown): void {
+  /** A peer sent an era of the store; invalid values are ignored. */
+  public onPeerEra(era: unknown): void {
     if (typeof era === 'number' && Number.isSafeInteger(era)) {
-      this.options.ports().store.eraTold(era);
+      this.options.ports().store.observeEra(era);
     }
   }
 
-  /** The store answers again, or does not answer any more. */
-  public storeReached(reachesStore: boolean): void {
+  /** The store became reachable or unreachable for this node. */
+  public onStoreReachabilityChanged(reachesStore: boolean): void {
     this.watchDuty.onStoreReachabilityChanged(reachesStore);
     this.options.ports().links.broadcast({ kind: 'store-reach', reachesStore });
   }
 
-  public connected({ configurationVersion, node, reachesStore, storeEra }: MeshHelloFrame): void {
+  public onConnected({ configurationVersion, node, reachesStore, storeEra }: MeshHelloFrame): void {
     this.watchDuty.onNodeConnected(node, reachesStore);
-    this.versionHeard(node, configurationVersion);
-    this.eraTold(storeEra);
+    this.onPeerVersion(node, configurationVersion);
+    this.onPeerEra(storeEra);
   }
 
-  public disconnected(node: string): void {
+  public onDisconnected(node: string): void {
     this.pull.removeNode(node);
     this.watchDuty.onNodeDisconnected(node);
   }
 
-  public versionHeard(from: MeshNode, version: number): void {
+  public onPeerVersion(from: MeshNode, version: number): void {
     const { clock, self } = this.options;
     this.pull.onVersionAnnounced(from.name, version, isSameZone(from, self), clock());
   }
 
-  /** A node says whether the store answers it. */
-  public storeReachTold(node: string, reachesStore: boolean): void {
+  /** A peer reported whether it reaches the store. */
+  public onPeerStoreReachability(node: string, reachesStore: boolean): void {
     this.watchDuty.onStoreReachabilityReported(node, reachesStore);
   }
 
-  /** A node asks for the configuration in force. */
-  public asked(node: string): void {
+  /** A peer requested the configuration in force. */
+  public onPullRequested(node: string): void {
     const { inForce } = this.holder;
     if (inForce === undefined) return;
     const { configuration, content } = inForce;
@@ -154,25 +154,28 @@
   }
 
   public tick(now: number): void {
-    this.checkWatchDuty(now);
+    this.updateWatch(now);
     const source = this.pull.takeDueSource(this.version, this.watchDuty.isWatching, now);
     if (source !== undefined) this.options.ports().links.send(source, { kind: 'pull' });
   }
 
-  /** A version never goes back, whatever the store shows. An operator who means to go back writes a higher one. */
-  private refused(
+  /**
+   * Versions never decrease, whatever the store returns. To roll back, an operator writes the earlier content with a
+   * higher version.
+   */
+  private logRejection(
     result: Exclude<OfferResult, typeof OfferResult.InForce>,
     version: number,
     source: string,
   ): void {
-    if (result === OfferResult.Same || version === this.refusedVersion) return;
-    this.refusedVersion = version;
+    if (result === OfferResult.Same || version === this.lastRejectedVersion) return;
+    this.lastRejectedVersion = version;
     const event =
       result === OfferResult.Older ? MeshEvent.ConfigurationOlder : MeshEvent.ConfigurationDiffers;
     this.options.log(event, { inForce: this.version, source, version });
   }
 
-  private checkWatchDuty(now: number): void {
+  private updateWatch(now: number): void {
     const wasWatching = this.watchDuty.isWatching;
     const isWatching = this.watchDuty.evaluate(now);
     if (isWatching === wasWatching) return;
--- a/packages/daemon/src/mesh/event-recorder.ts
+++ b/packages/daemon/src/mesh/event-recorder.ts
@@ -5,40 +5,40 @@
 import { MeshEvent } from './mesh-event.js';
 
 /**
- * Lines that a node writes in a second, by what they tell of; the operators' page names their sum, 500. Each
- * kind has its own budget, so that the steps of refused requests cannot displace how requests ended.
+ * Maximum number of log lines per second by kind. The documentation for operators states the sum, 500. Each kind
+ * has a budget of its own, so that lines about the steps of refused requests cannot displace those about outcomes.
  */
 const linesPerSecond = {
-  /** How requests ended that ended badly or late, or without a route. */
+  /** Outcomes of requests that failed, were late, or matched no route. */
   conclusions: 150,
-  /** Steps of those requests at their entry. */
+  /** Steps of such requests at their entry. */
   steps: 120,
-  /** Requests that a gate declined for want of room or time. */
+  /** Requests that a gate declined, for example for lack of room or time; the reason `busy` counts as routine. */
   declines: 50,
-  /** What changes a belief of the node. */
+  /** Changes in the node's view of servers, peers, the store and the configuration. */
   notable: 80,
-  /** Requests that went well; counters tell of the rest. */
+  /** Requests that went well; lines beyond the budget are only counted. */
   routine: 100,
 } as const;
-/** Requests in progress whose lines are kept until it is known how they end. */
-const maximumKeptRequests = 2_000;
-const maximumKeptLines = 20;
-const reportMilliseconds = 1_000;
+/** Maximum number of requests in progress whose lines are buffered until their outcome is known. */
+const maximumBufferedRequests = 2_000;
+const maximumBufferedLinesPerRequest = 20;
+const suppressionReportIntervalMilliseconds = 1_000;
 
-type Fields = Readonly<Record<string, string | number | boolean>>;
+type LogFields = Readonly<Record<string, string | number | boolean>>;
 
-/** A line that waits for the end of its request. */
-interface KeptLine {
+/** A line that is written or discarded when its request ends. */
+interface BufferedLine {
   readonly event: string;
-  readonly fields: Fields;
+  readonly fields: LogFields;
   readonly time: number;
 }
 
 /**
- * Fields by which events are counted; others have too many values. A counter has the same labels in all
- * its series, so a field that an event lacks is counted as an empty one.
+ * Fields that become labels of an event's counter; other fields have too many distinct values. All series of a
+ * counter must have the same labels, so a missing field becomes an empty label.
  */
-const countedFields: Readonly<Record<string, readonly string[]>> = {
+const labelFieldsByEvent: Readonly<Record<string, readonly string[]>> = {
   [EntryEventName.RequestConcluded]: ['cause', 'outcome', 'service'],
   [EntryEventName.RequestMoved]: ['reason'],
   [EntryEventName.RequestNotRepeated]: ['reason'],
@@ -49,32 +49,32 @@
   [MeshEvent.StoreCalled]: ['call', 'outcome'],
 };
 
-/** Events of a request at its entry, which are kept until the request ends. */
-const entryEvents: ReadonlySet<string> = new Set([
+/** Events of a request at its entry that are buffered until the request ends. */
+const bufferedEvents: ReadonlySet<string> = new Set([
   EntryEventName.AttemptFailed,
   EntryEventName.RequestMoved,
   EntryEventName.RequestNotRepeated,
   EntryEventName.RequestPlaced,
   EntryEventName.RequestRepeated,
 ]);
-/** Events of requests at a gate that say nothing of a bad end; only a sample is written under load. */
-const gateEvents: ReadonlySet<string> = new Set([
+/** Events of requests at a gate that indicate no failure; under load only a sample of them is written. */
+const sampledEvents: ReadonlySet<string> = new Set([
   GateEventName.RequestCancelled,
   GateEventName.RequestStarted,
 ]);
 
 export interface EventRecorderOptions {
-  /** Writes a line; `time` is the wall time of the event, which may be some time ago. */
-  readonly write: (event: string, fields: Fields, time: number) => void;
+  /** Writes a line; `time` is the wall-clock time of the event, which may be in the past. */
+  readonly write: (event: string, fields: LogFields, time: number) => void;
   readonly metrics: Pick<Metrics, 'count' | 'recordLatency'>;
   readonly clock: () => number;
   readonly wallClock: () => number;
 }
 
 /**
- * Logs and counts what a node decides. A request that ends badly or late keeps all its lines, or under a
- * heavy load the last one, which has what the steps before it come to. Of the others as many are written
- * as the budget of a second allows, and the rest are counted.
+ * Logs and counts the decisions of a node. All lines of a request that failed or was late are written; under heavy
+ * load only its last line, which summarizes the steps. Lines of other requests are written as long as the budget of
+ * the current second allows; suppressed lines are counted.
  */
 export class EventRecorder {
   private readonly conclusions = new LineBudget(linesPerSecond.conclusions);
@@ -82,97 +82,100 @@
   private readonly declines = new LineBudget(linesPerSecond.declines);
   private readonly notable = new LineBudget(linesPerSecond.notable);
   private readonly routine = new LineBudget(linesPerSecond.routine);
-  private readonly kept = new Map<string, KeptLine[]>();
+  private readonly bufferedLines = new Map<string, BufferedLine[]>();
   private reportedAt = 0;
 
   public constructor(private readonly options: EventRecorderOptions) {}
 
-  public record(event: string, fields: Fields): void {
+  public record(event: string, fields: LogFields): void {
     const now = this.options.clock();
     this.countEvent(event, fields);
-    if (entryEvents.has(event)) this.keep(event, fields);
-    else if (event === EntryEventName.RequestConcluded) this.concluded(fields);
-    else if (event === EntryEventName.RequestAbandoned) this.writeWhole(event, fields);
-    else if (event === GateEventName.RequestFinished) this.finished(fields);
-    else this.writeWithin(this.budgetOf(event, fields), event, fields);
+    if (bufferedEvents.has(event)) this.buffer(event, fields);
+    else if (event === EntryEventName.RequestConcluded) this.onRequestConcluded(fields);
+    else if (event === EntryEventName.RequestAbandoned) this.writeWithBuffered(event, fields);
+    else if (event === GateEventName.RequestFinished) this.onRequestFinished(fields);
+    else this.writeWithinBudget(this.budgetFor(event, fields), event, fields);
     this.reportSuppressed(now);
   }
 
-  /** Counts something that happens too often for a line. */
+  /** Counts an event that is too frequent to be logged. */
   public count(counter: string): void {
     this.options.metrics.count({ by: 1, counter, kind: 'count', labels: {} });
   }
 
-  /** A request waited for others on its connection; the series has the name of the event as its outcome. */
-  public waitedBehind(
-    fields: Readonly<Record<'beforeStart' | 'withAnswer', number>> & Fields,
+  /**
+   * A request waited for earlier requests on its connection (head-of-line blocking). The wait is recorded as a
+   * latency whose `outcome` label is the name of the event.
+   */
+  public recordHeadOfLineWait(
+    fields: Readonly<Record<'beforeStart' | 'withAnswer', number>> & LogFields,
   ): void {
     const milliseconds = fields.beforeStart + fields.withAnswer;
     this.options.metrics.recordLatency('', MeshEvent.RequestWaitedBehind, milliseconds);
     this.record(MeshEvent.RequestWaitedBehind, fields);
   }
 
-  private budgetOf(event: string, { reason }: Fields): LineBudget {
-    if (gateEvents.has(event) || event === MeshEvent.RequestWaitedBehind) return this.routine;
+  private budgetFor(event: string, { reason }: LogFields): LineBudget {
+    if (sampledEvents.has(event) || event === MeshEvent.RequestWaitedBehind) return this.routine;
     if (event === MeshEvent.RequestAnsweredLocally) return this.conclusions;
     if (event !== GateEventName.RequestDeclined) return this.notable;
     return reason === DeclineReason.Busy ? this.routine : this.declines;
   }
 
-  private concluded(fields: Fields): void {
+  private onRequestConcluded(fields: LogFields): void {
     const { milliseconds, outcome, request, service } = fields;
     this.options.metrics.recordLatency(String(service), String(outcome), Number(milliseconds));
-    if (isBad(fields)) {
-      this.writeWhole(EntryEventName.RequestConcluded, fields);
+    if (isFailedOrLate(fields)) {
+      this.writeWithBuffered(EntryEventName.RequestConcluded, fields);
       return;
     }
-    this.kept.delete(String(request));
-    this.writeWithin(this.routine, EntryEventName.RequestConcluded, fields);
+    this.bufferedLines.delete(String(request));
+    this.writeWithinBudget(this.routine, EntryEventName.RequestConcluded, fields);
   }
 
-  /** Writes the last line of a request, and before it those that were kept, if there is room for all. */
-  private writeWhole(event: string, fields: Fields): void {
+  /** Writes the last line of a request, preceded by its buffered lines if the budget has room for all of them. */
+  private writeWithBuffered(event: string, fields: LogFields): void {
     const request = String(fields.request);
-    const kept = this.kept.get(request) ?? [];
-    this.kept.delete(request);
-    // Seconds of the wall clock, so that the lines of a second can be counted in the log.
-    if (this.steps.take(this.options.wallClock(), kept.length)) {
-      for (const line of kept) this.options.write(line.event, line.fields, line.time);
+    const earlierLines = this.bufferedLines.get(request) ?? [];
+    this.bufferedLines.delete(request);
+    // Budgets follow seconds of the wall clock, so that they can be verified by counting the lines in the log.
+    if (this.steps.tryTake(this.options.wallClock(), earlierLines.length)) {
+      for (const line of earlierLines) this.options.write(line.event, line.fields, line.time);
     }
-    this.writeWithin(this.conclusions, event, fields);
+    this.writeWithinBudget(this.conclusions, event, fields);
   }
 
-  /** The gate's line of a request that ends badly is kept as well; the others have their first line. */
-  private finished(fields: Fields): void {
-    if (!isBad(fields)) return;
-    this.writeWithin(this.conclusions, GateEventName.RequestFinished, fields);
+  /** Writes the gate's last line of a failed or late request. For other requests the first line is sufficient. */
+  private onRequestFinished(fields: LogFields): void {
+    if (!isFailedOrLate(fields)) return;
+    this.writeWithinBudget(this.conclusions, GateEventName.RequestFinished, fields);
   }
 
-  private keep(event: string, fields: Fields): void {
+  private buffer(event: string, fields: LogFields): void {
     const request = String(fields.request);
-    let lines = this.kept.get(request);
+    let lines = this.bufferedLines.get(request);
     if (lines === undefined) {
-      if (this.kept.size >= maximumKeptRequests) return;
+      if (this.bufferedLines.size >= maximumBufferedRequests) return;
       lines = [];
-      this.kept.set(request, lines);
+      this.bufferedLines.set(request, lines);
     }
-    if (lines.length >= maximumKeptLines) return;
+    if (lines.length >= maximumBufferedLinesPerRequest) return;
     lines.push({ event, fields, time: this.options.wallClock() });
   }
 
-  private countEvent(event: string, fields: Fields): void {
+  private countEvent(event: string, fields: LogFields): void {
     const labels: Record<string, string> = {};
-    for (const name of countedFields[event] ?? []) labels[name] = String(fields[name] ?? '');
+    for (const name of labelFieldsByEvent[event] ?? []) labels[name] = String(fields[name] ?? '');
     this.options.metrics.count({ by: 1, counter: event, kind: 'count', labels });
   }
 
-  private writeWithin(budget: LineBudget, event: string, fields: Fields): void {
+  private writeWithinBudget(budget: LineBudget, event: string, fields: LogFields): void {
     const time = this.options.wallClock();
-    if (budget.take(time)) this.options.write(event, fields, time);
+    if (budget.tryTake(time)) this.options.write(event, fields, time);
   }
 
   private reportSuppressed(now: number): void {
-    if (now - this.reportedAt < reportMilliseconds) return;
+    if (now - this.reportedAt < suppressionReportIntervalMilliseconds) return;
     this.reportedAt = now;
     const suppressed = {
       conclusions: this.conclusions.takeSuppressed(),
@@ -186,6 +189,6 @@
   }
 }
 
-function isBad({ late, outcome, status }: Fields): boolean {
+function isFailedOrLate({ late, outcome, status }: LogFields): boolean {
   return outcome !== 'answered' || Number(status) >= 500 || late === true;
 }
--- a/packages/daemon/src/mesh/line-budget.ts
+++ b/packages/daemon/src/mesh/line-budget.ts
@@ -1,31 +1,31 @@
 const millisecondsPerSecond = 1_000;
 
-/** How many lines of one kind may be written in a second; what is left out is counted. */
+/** Limits how many log lines of one kind are written per second, and counts the suppressed ones. */
 export class LineBudget {
-  private left: number;
+  private remaining: number;
   private second = 0;
   private suppressed = 0;
 
   public constructor(private readonly linesPerSecond: number) {
-    this.left = linesPerSecond;
+    this.remaining = linesPerSecond;
   }
 
-  /** Takes room for lines that are written together or not at all. */
-  public take(now: number, lines = 1): boolean {
+  /** Reserves room for lines that are written together or not at all; `now` is in milliseconds. */
+  public tryTake(now: number, lines = 1): boolean {
     const second = Math.floor(now / millisecondsPerSecond);
     if (second !== this.second) {
       this.second = second;
-      this.left = this.linesPerSecond;
+      this.remaining = this.linesPerSecond;
     }
-    if (this.left < lines) {
+    if (this.remaining < lines) {
       this.suppressed += lines;
       return false;
     }
-    this.left -= lines;
+    this.remaining -= lines;
     return true;
   }
 
-  /** Lines that were left out since the last question. */
+  /** Returns the number of lines suppressed since the last call. */
   public takeSuppressed(): number {
     const { suppressed } = this;
     this.suppressed = 0;
--- a/packages/daemon/src/mesh/mesh-directory-entry.ts
+++ b/packages/daemon/src/mesh/mesh-directory-entry.ts
@@ -2,12 +2,12 @@
 
 const entryFields = ['name', 'service', 'availabilityZone', 'region', 'address'] as const;
 
-/** The value of a node's entry in the directory. */
+/** Encodes a node as the value of its entry in the store's directory. */
 export function encodeDirectoryEntry(node: MeshNode): Uint8Array {
   return Buffer.from(JSON.stringify(node));
 }
 
-/** Undefined for an entry that no node of this kind wrote. */
+/** Returns undefined if the value is not a valid entry of a mesh node. */
 export function decodeDirectoryEntry(value: Uint8Array): MeshNode | undefined {
   let parsed: unknown;
   try {
@@ -18,18 +18,18 @@
   return isMeshNode(parsed) ? parsed : undefined;
 }
 
-/** Whether two entries lead to the same node; lives of its process are told apart by its connections. */
+/** Whether two entries describe the same node. `boot` is ignored: connections tell incarnations of a node apart. */
 export function isSameEntry(stored: MeshNode | undefined, node: MeshNode): boolean {
   return stored !== undefined && entryFields.every((name) => stored[name] === node[name]);
 }
 
-/** Whether a value that another process sent describes a node. */
+/** Validates a node description that another process sent or stored. */
 export function isMeshNode(value: unknown): value is MeshNode {
   if (typeof value !== 'object' || value === null) return false;
   const fields = value as Readonly<Record<string, unknown>>;
-  return Number.isSafeInteger(fields.boot) && entryFields.every((name) => isText(fields[name]));
+  return Number.isSafeInteger(fields.boot) && entryFields.every((name) => isNonEmpty(fields[name]));
 }
 
-function isText(value: unknown): boolean {
+function isNonEmpty(value: unknown): boolean {
   return typeof value === 'string' && value !== '';
 }
--- a/packages/daemon/src/mesh/mesh-event.ts
+++ b/packages/daemon/src/mesh/mesh-event.ts
@@ -1,4 +1,4 @@
-/** Names of the events of a node that routes by host and path; the core names its events itself. */
+/** Names of the log events of a node that routes by host and path. `mesh-core` defines the names of its own events. */
 export const MeshEvent = {
   ConfigurationDiffers: 'configuration-differs',
   ConfigurationInForce: 'configuration-in-force',
--- a/packages/daemon/src/mesh/mesh-gauges.ts
+++ b/packages/daemon/src/mesh/mesh-gauges.ts
@@ -1,7 +1,7 @@
 import type { Metrics } from '@peridotspring/operators/metrics';
 
-/** Figures of a routing node, by the names of their gauges. */
-export interface MeshFigures {
+/** Gauge values of a routing node; each property is the name of a gauge. */
+export interface MeshGaugeValues {
   readonly configuration_age_seconds: number;
   readonly configuration_version: number;
   readonly gate_concurrency_limit: number;
@@ -18,52 +18,53 @@
   readonly server_slots: number;
 }
 
-/** Figures of a routing node with a value for each service, by the names of their gauges. */
-export interface MeshServiceFigures {
+/** Gauges with a value for each service; each property is the name of a gauge. */
+export interface MeshServiceGaugeValues {
   readonly load_report_age_milliseconds: ReadonlyMap<string, number>;
   readonly repeats_allowed: ReadonlyMap<string, number>;
   readonly repeats_used: ReadonlyMap<string, number>;
 }
 
-const helpTexts: Readonly<Record<keyof MeshFigures, string>> = {
-  configuration_age_seconds: 'Time since the configuration came into force here.',
+const gaugeHelpTexts: Readonly<Record<keyof MeshGaugeValues, string>> = {
+  configuration_age_seconds: 'Time since the configuration came into force on this node.',
   configuration_version: 'Version of the configuration in force.',
-  gate_concurrency_limit: 'Requests that the gate runs at once.',
-  gate_running: 'Requests at the server.',
-  gate_waiting: 'Requests that wait at the gate.',
-  nodes_connected: 'Other nodes with a connection.',
-  nodes_gone: 'Other nodes that had a connection and have none now.',
-  nodes_known: 'Other nodes that were heard of.',
-  nodes_wanted: 'Other nodes that this one means to be connected to; others may connect to it.',
-  requests_in_progress: 'Requests of callers that have no answer yet.',
-  server_failure_share: 'Recent share of requests that the server failed, 0 to 1.',
-  server_probes_allowed_per_second: 'Questions for its speed that the server may be asked.',
-  server_service_milliseconds: 'Recent mean time of a request at the server.',
-  server_slots: 'Requests that the server says it can run at once; 0 without a server.',
+  gate_concurrency_limit: 'Maximum number of requests that the gate runs concurrently.',
+  gate_running: 'Requests that the server is running.',
+  gate_waiting: 'Requests in the queue of the gate.',
+  nodes_connected: 'Peers that this node is connected to.',
+  nodes_gone: 'Peers that were connected and are not connected now.',
+  nodes_known: "Peers in this node's directory.",
+  nodes_wanted: 'Peers that this node aims to be connected to; further peers may connect to it.',
+  requests_in_progress: 'Requests of callers that have not been answered yet.',
+  server_failure_share: 'Recent share of requests that failed at the server, 0 to 1.',
+  server_probes_allowed_per_second: 'Maximum number of load probes sent to the server per second.',
+  server_service_milliseconds: 'Recent mean duration of a request at the server.',
+  server_slots:
+    'Number of concurrent requests that the server reports it can run; 0 without a server.',
 };
 
-const serviceHelpTexts: Readonly<Record<keyof MeshServiceFigures, string>> = {
-  load_report_age_milliseconds: 'Age of the newest load that a gate of the service told.',
-  repeats_allowed: 'Second attempts that this node may send in a window.',
-  repeats_used: 'Second attempts that this node has sent in the window.',
+const serviceGaugeHelpTexts: Readonly<Record<keyof MeshServiceGaugeValues, string>> = {
+  load_report_age_milliseconds: 'Age of the newest load report of a gate of the service.',
+  repeats_allowed: 'Retries that this node may send in a budget window.',
+  repeats_used: 'Retries that this node has sent in the current budget window.',
 };
 
 export interface MeshGaugeSources {
-  readonly figures: () => MeshFigures;
-  readonly serviceFigures: () => MeshServiceFigures;
+  readonly gaugeValues: () => MeshGaugeValues;
+  readonly serviceGaugeValues: () => MeshServiceGaugeValues;
 }
 
-/** Adds the gauges of a routing node, which are read at each scrape. */
+/** Registers the gauges of a routing node; their values are read at each scrape. */
 export function registerMeshGauges(
   metrics: Pick<Metrics, 'addGauge' | 'addLabelledGauge'>,
-  { figures, serviceFigures }: MeshGaugeSources,
+  { gaugeValues, serviceGaugeValues }: MeshGaugeSources,
 ): void {
-  for (const [name, help] of Object.entries(helpTexts)) {
-    metrics.addGauge({ help, name, read: () => figures()[name as keyof MeshFigures] });
+  for (const [name, help] of Object.entries(gaugeHelpTexts)) {
+    metrics.addGauge({ help, name, read: () => gaugeValues()[name as keyof MeshGaugeValues] });
   }
-  for (const [name, help] of Object.entries(serviceHelpTexts)) {
+  for (const [name, help] of Object.entries(serviceGaugeHelpTexts)) {
     const read = (): ReadonlyMap<string, number> =>
-      serviceFigures()[name as keyof MeshServiceFigures];
+      serviceGaugeValues()[name as keyof MeshServiceGaugeValues];
     metrics.addLabelledGauge({ help, label: 'service', name, read });
   }
 }
--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -28,46 +28,47 @@
 import type { MeshHelloPayload, MeshHelloFrame, MeshConnections } from '@peridotspring/nodes';
 import type { HealthAnswer, ServerMessage } from '@peridotspring/upstreams/mesh';
 
-import { ConfigurationFollower } from './configuration-follower.js';
-import type { ConfigurationPorts } from './configuration-follower.js';
-import { DirectoryKeeper } from './directory-keeper.js';
-import type { DirectoryStore } from './directory-keeper.js';
+import { ConfigurationSynchronizer } from './configuration-synchronizer.js';
+import type { ConfigurationPorts } from './configuration-synchronizer.js';
+import { DirectorySynchronizer } from './directory-synchronizer.js';
+import type { DirectoryStore } from './directory-synchronizer.js';
 import type { EventRecorder } from './event-recorder.js';
 import { MeshEvent } from './mesh-event.js';
 import type { MeshSettings } from './mesh-settings.js';
-import type { MeshFigures, MeshServiceFigures } from './mesh-gauges.js';
+import type { MeshGaugeValues, MeshServiceGaugeValues } from './mesh-gauges.js';
 import { isMeshNode } from './mesh-directory-entry.js';
 import type { DecodedConfiguration } from './platform-adapter.js';
-import { ServerInbox } from './server-inbox.js';
-import { StopPlan } from './stop-plan.js';
-
-/** Time between ticks while requests wait at the gate for the moment to start. */
-const waitingTickMilliseconds = 10;
-/** Time between ticks while requests are in progress; hedges and reports of load depend on it. */
-const busyTickMilliseconds = 20;
-const idleTickMilliseconds = 50;
-/** Shortest time between two looks at whom to tell of the load; a report to a node has pauses of its own. */
-const announceMilliseconds = 10;
-/** A server that has not told of itself by then is asked for its health. */
-const firstReportMilliseconds = 500;
-const healthRetryMilliseconds = 3_000;
+import { ServerMessageBuffer } from './server-message-buffer.js';
+import { GracefulShutdown } from './graceful-shutdown.js';
+
+/** Interval between ticks while requests are queued at the gate. */
+const queuedTickIntervalMilliseconds = 10;
+/** Interval between ticks while requests are in progress; hedged requests and load reports are sent on ticks. */
+const busyTickIntervalMilliseconds = 20;
+const idleTickIntervalMilliseconds = 50;
+/** Minimum interval between checks for due load reports. The reports to each single node are limited further. */
+const announcementIntervalMilliseconds = 10;
+/** If the server has not sent a report within this time after the start, the node checks its health. */
+const firstReportTimeoutMilliseconds = 500;
+const healthRetryDelayMilliseconds = 3_000;
 /**
- * What the server says waits until half of the connections are up or until this time, so that others can tell
- * which lifetimes of it an earlier life of this process has shut for.
+ * Messages of the server are buffered until half of the connections are up, but at most for this long after the
+ * start. Peers report, when they connect, which lifetimes of the server have ended according to an earlier
+ * incarnation of this node.
  */
-const hearOthersMilliseconds = 500;
+const greetingTimeoutMilliseconds = 500;
 /**
- * The end of a server is confirmed once other nodes know of it, which takes a round trip. Nodes that don't answer
- * are not waited for longer; the platform allows a second for the confirmation.
+ * The end of a server is confirmed to the server once peers have acknowledged it, which takes a round trip. Peers
+ * that don't answer delay the confirmation by at most this time; the platform allows one second for it.
  */
-const endReadMilliseconds = 200;
-/** A node takes callers although it could not reach the others for this long. */
-const lonelyStartMilliseconds = 2_000;
+const endAcknowledgementTimeoutMilliseconds = 200;
+/** A node that cannot connect to its peers reports that it is ready after this time. */
+const isolatedReadinessDelayMilliseconds = 2_000;
 const millisecondsPerSecond = 1_000;
 
-type Fields = Readonly<Record<string, string | number | boolean>>;
+type LogFields = Readonly<Record<string, string | number | boolean>>;
 
-/** What the node uses to act on the world. */
+/** Interfaces through which the node acts on callers, other nodes, the server beside it and the store. */
 export interface MeshNodePorts {
   readonly callers: Pick<RouteServer, 'configure' | 'inProgress' | 'refuse' | 'respond' | 'stop'>;
   readonly links: Pick<MeshConnections, 'broadcast' | 'dial' | 'send' | 'tick' | 'whenRead'>;
@@ -77,8 +78,8 @@
     health(path: string): Promise<HealthAnswer | undefined>;
   };
   readonly store: ConfigurationPorts['store'] & DirectoryStore;
-  /** Nothing is in progress any more: the process may end. `isForGood` tells that its server has left too. */
-  readonly stopped: (isForGood: boolean) => void;
+  /** Called when the process may exit. `isPermanent` is true if the server has left too, so its entry is removed. */
+  readonly onStopped: (isPermanent: boolean) => void;
 }
 
 export interface MeshNodeOptions {
@@ -88,57 +89,57 @@
   readonly clock: () => number;
   readonly events: EventRecorder;
   readonly ports: () => MeshNodePorts;
-  /** Calls back once after a time; returns what takes it back. */
+  /** Runs the action once after the delay; the returned function cancels it. */
   readonly schedule: (action: () => void, milliseconds: number) => () => void;
-  /** Calls back in a later turn, before any time passes. */
+  /** Runs the action after the current call stack has unwound, before any timer. */
   readonly defer: (action: () => void) => void;
   readonly decodeConfiguration: (content: Uint8Array) => DecodedConfiguration;
 }
 
-/** Connects the decisions of a node with its ports. */
+/** Connects the decision logic of a node (gate, forwarder, directory, configuration) to its ports. */
 export class MeshNodeDriver {
   public readonly directory: NodeDirectory;
-  private readonly directoryKeeper: DirectoryKeeper;
-  private readonly configuration: ConfigurationFollower;
+  private readonly directorySynchronizer: DirectorySynchronizer;
+  private readonly configuration: ConfigurationSynchronizer;
   private readonly targets = new GateTable();
-  private readonly split: TrafficSplit;
-  private readonly budget: RetryBudget;
+  private readonly trafficSplit: TrafficSplit;
+  private readonly retryBudget: RetryBudget;
   private readonly forwarder: RequestForwarder;
   private readonly gate: ServerGate;
-  private readonly announcer = new LoadAnnouncer();
+  private readonly loadAnnouncer = new LoadAnnouncer();
   private readonly endedServers = new EndedServers();
-  private readonly inbox: ServerInbox;
-  /** Settles when other nodes have read that the last server drains or left. */
-  private endRead: Promise<void> = Promise.resolve();
+  private readonly serverMessages: ServerMessageBuffer;
+  /** Settles when peers have acknowledged that the last server is draining or has left. */
+  private endAcknowledged: Promise<void> = Promise.resolve();
   private readonly startedAt: number;
   private cancelTick: (() => void) | undefined;
-  private stopPlan: StopPlan | undefined;
-  private healthDueAt: number;
-  private upkeepDueAt = 0;
-  private announceDueAt = 0;
+  private shutdown: GracefulShutdown | undefined;
+  private healthCheckDueAt: number;
+  private maintenanceDueAt = 0;
+  private announcementDueAt = 0;
   private isClosed = false;
 
   public constructor(private readonly options: MeshNodeOptions) {
     const { clock, random, self, settings } = options;
     this.startedAt = clock();
-    this.healthDueAt = this.startedAt + firstReportMilliseconds;
-    const log = (event: string, fields: Fields): void => {
+    this.healthCheckDueAt = this.startedAt + firstReportTimeoutMilliseconds;
+    const log = (event: string, fields: LogFields): void => {
       options.events.record(event, fields);
     };
-    this.inbox = new ServerInbox((message) => {
-      this.takeServerMessage(message);
+    this.serverMessages = new ServerMessageBuffer((message) => {
+      this.handleServerMessage(message);
     });
-    this.directoryKeeper = new DirectoryKeeper({
-      isRemover: () => this.configuration.isWatching,
+    this.directorySynchronizer = new DirectorySynchronizer({
+      isRemovingEntries: () => this.configuration.isWatching,
       log,
       self,
       startedAt: this.startedAt,
       store: () => options.ports().store,
     });
-    this.directory = this.directoryKeeper.directory;
-    this.configuration = new ConfigurationFollower({
-      changed: (configuration) => {
-        this.configured(configuration);
+    this.directory = this.directorySynchronizer.directory;
+    this.configuration = new ConfigurationSynchronizer({
+      onChange: (configuration) => {
+        this.onConfigurationChanged(configuration);
       },
       clock,
       decode: options.decodeConfiguration,
@@ -146,8 +147,8 @@
       ports: options.ports,
       self,
     });
-    this.split = new TrafficSplit(random);
-    this.budget = new RetryBudget(settings.repeats);
+    this.trafficSplit = new TrafficSplit(random);
+    this.retryBudget = new RetryBudget(settings.repeats);
     this.gate = new ServerGate({
       log: ({ event, fields }) => {
         this.log(event, fields);
@@ -157,13 +158,13 @@
           options.ports().server.abort(executionId);
         },
         onStateChanged: () => {
-          this.loadChanged();
+          this.onLoadChanged();
         },
         probe: () => {
           void this.probe();
         },
         reply: (node, frame) => {
-          this.reply(node, frame);
+          this.sendReply(node, frame);
         },
         run: (execution) => {
           options.ports().server.run(execution);
@@ -173,7 +174,7 @@
       service: self.service,
     });
     this.forwarder = new RequestForwarder({
-      retryBudget: this.budget,
+      retryBudget: this.retryBudget,
       callerService: self.service,
       log: ({ event, fields }) => {
         this.log(event, fields);
@@ -205,15 +206,15 @@
     return inForce && { limits: inForce.configuration.limits, table: inForce.table };
   }
 
-  /** Whether callers may send their requests to this node. */
+  /** Whether the readiness check passes, so that callers may send requests to this node. */
   public get isReady(): boolean {
-    if (this.stopPlan !== undefined || this.configuration.inForce === undefined) return false;
-    if (this.options.clock() - this.startedAt > lonelyStartMilliseconds) return true;
-    return this.directoryKeeper.isMostlyConnected;
+    if (this.shutdown !== undefined || this.configuration.inForce === undefined) return false;
+    if (this.options.clock() - this.startedAt > isolatedReadinessDelayMilliseconds) return true;
+    return this.directorySynchronizer.isMostlyConnected;
   }
 
-  /** Figures for the metrics, read when they are asked for. */
-  public get figures(): MeshFigures {
+  /** Current values of the gauges, computed at each scrape. */
+  public get gaugeValues(): MeshGaugeValues {
     const now = this.options.clock();
     const load = this.gate.load(now);
     return {
@@ -234,14 +235,14 @@
     };
   }
 
-  /** Figures of each service for the metrics, read when they are asked for. */
-  public get serviceFigures(): MeshServiceFigures {
+  /** Current values of the gauges with a service label, computed at each scrape. */
+  public get serviceGaugeValues(): MeshServiceGaugeValues {
     const now = this.options.clock();
-    const uses = [...this.budget.usageByService(now)];
+    const retryUses = [...this.retryBudget.usageByService(now)];
     return {
       load_report_age_milliseconds: this.targets.loadAges(now),
-      repeats_allowed: new Map(uses.map(({ allowed, service }) => [service, allowed])),
-      repeats_used: new Map(uses.map(({ service, used }) => [service, used])),
+      repeats_allowed: new Map(retryUses.map(({ allowed, service }) => [service, allowed])),
+      repeats_used: new Map(retryUses.map(({ service, used }) => [service, used])),
     };
   }
 
@@ -256,120 +257,119 @@
     };
   }
 
-  /** Begins a planned stop: requests in progress end, and others hear of it. */
+  /** Begins a graceful shutdown: requests in progress are completed, and the load reports to peers show it. */
   public stop(): void {
-    if (this.stopPlan !== undefined) return;
+    if (this.shutdown !== undefined) return;
     const now = this.options.clock();
-    this.stopPlan = new StopPlan(now, this.options.settings.graceMilliseconds);
+    this.shutdown = new GracefulShutdown(now, this.options.settings.graceMilliseconds);
     this.gate.stop(now);
     this.options.ports().callers.stop();
   }
 
-  /** Bounds that hold from now on; addresses and names of a process hold until its end. */
+  /** Applies new limits at once. Addresses and names cannot change while the process runs. */
   public applySettings({ probesPerSecond, repeats }: MeshSettings): void {
-    this.budget.configure(repeats);
+    this.retryBudget.configure(repeats);
     this.gate.setProbesPerSecond(probesPerSecond);
   }
 
-  public callerRequest(request: EntryRequest): void {
+  public onCallerRequest(request: EntryRequest): void {
     const now = this.options.clock();
-    const service = this.split.chooseService(request.route);
+    const service = this.trafficSplit.chooseService(request.route);
     const parent = this.gate.findParent(request.requestId);
-    if (parent?.repeat === true) this.budget.recordUnavoidableRetry(service, now);
+    if (parent?.repeat === true) this.retryBudget.recordUnavoidableRetry(service, now);
     this.forwarder.forward(request, service, parent !== undefined, now);
   }
 
-  public callerGone(requestNumber: number): void {
+  public onCallerDisconnected(requestNumber: number): void {
     this.forwarder.onCallerDisconnected(requestNumber, this.options.clock());
   }
 
-  public executionConcluded(executionId: number, result: ExecutionResult): void {
+  public onExecutionConcluded(executionId: number, result: ExecutionResult): void {
     const now = this.options.clock();
     this.gate.onExecutionFinished(executionId, result, now);
     this.announceLoad(now);
   }
 
-  public serverLoad(load: ServerLoad): void {
+  public onServerLoad(load: ServerLoad): void {
     const now = this.options.clock();
     this.gate.onServerLoad(load, now);
     this.announceLoad(now);
   }
 
-  /** Another server than the expected one has the address. */
-  public otherInstance(instanceId: string): void {
+  /** A different server instance than the expected one answered at the server's address. */
+  public onUnexpectedInstance(instanceId: string): void {
     this.log(MeshEvent.OtherInstance, { instance: instanceId });
   }
 
   /**
-   * The server tells of itself. Settles when that may be confirmed: what confirms the end of a server has to hold in
-   * later lives of this process too, and these hear of it from other nodes.
+   * Handles a report of the server. Settles when the report may be confirmed to the server. The end of a server has to
+   * hold for later incarnations of this node too, which learn of it from peers, so peers must acknowledge it first.
    */
-  public async serverMessage(message: ServerMessage): Promise<void> {
-    this.inbox.receive(message);
-    await this.endRead;
+  public async onServerMessage(message: ServerMessage): Promise<void> {
+    this.serverMessages.receive(message);
+    await this.endAcknowledged;
   }
 
-  /** The operators' configuration was read from the store. */
-  public configurationRead(content: Uint8Array): void {
-    this.configuration.read(content, 'store');
+  public onConfigurationRead(content: Uint8Array): void {
+    this.configuration.onContentReceived(content, 'store');
   }
 
-  /** The store answers again, or does not answer any more. */
-  public storeReached(reachesStore: boolean): void {
-    this.configuration.storeReached(reachesStore);
+  /** The store became reachable or unreachable. */
+  public onStoreReachabilityChanged(isReachable: boolean): void {
+    this.configuration.onStoreReachabilityChanged(isReachable);
   }
 
-  /** The store told its era for the first time, or that it came back from an older copy. */
-  public storeEraSeen(era: number, isRestored: boolean): void {
-    this.configuration.eraSeen(era, isRestored);
+  /** The store's era was read for the first time, or the era shows that the store was restored from a backup. */
+  public onStoreEraObserved(era: number, isRestored: boolean): void {
+    this.configuration.onEraObserved(era, isRestored);
   }
 
-  public directoryRead(): void {
-    this.directoryKeeper.read();
+  public onDirectoryRead(): void {
+    this.directorySynchronizer.onReadComplete();
   }
 
-  public nodeMentioned(node: MeshNode): void {
-    this.directoryKeeper.mentioned(node, this.options.clock());
+  public onNodeObserved(node: MeshNode): void {
+    this.directorySynchronizer.observe(node, this.options.clock());
   }
 
-  public connected(hello: MeshHelloFrame): void {
+  public onConnected(hello: MeshHelloFrame): void {
     const { knownNodes, load, node } = hello;
     const now = this.options.clock();
     this.log(MeshEvent.NodeConnected, { boot: node.boot, peer: node.name });
     this.directory.onConnected(node, now);
-    this.hearEndedServers(hello, now);
+    this.recordEndedServers(hello, now);
     this.targets.onConnected(node, load, now);
     this.forwarder.onConnectionRestored(node.name, node.boot, now);
     const { links } = this.options.ports();
-    this.configuration.connected(hello);
-    // A node that the store does not answer learns of the others; it needs the list a few times only.
-    const tells = this.configuration.isWatching || isSameZone(node, this.options.self);
-    if (tells && knownNodes * 2 < this.directory.nodeCount - 1) {
+    this.configuration.onConnected(hello);
+    // A peer that does not reach the store learns of other nodes this way. Only a few nodes need to send it the list.
+    const sendsMembers = this.configuration.isWatching || isSameZone(node, this.options.self);
+    if (sendsMembers && knownNodes * 2 < this.directory.nodeCount - 1) {
       links.send(node.name, { kind: 'members', members: this.directory.nodes() });
     }
   }
 
-  public disconnected({ name }: MeshNode, detail: string): void {
+  public onDisconnected({ name }: MeshNode, detail: string): void {
     const now = this.options.clock();
     this.log(MeshEvent.NodeDisconnected, { detail, peer: name });
     this.directory.onDisconnected(name, now);
     this.targets.onDisconnected(name);
-    this.configuration.disconnected(name);
+    this.configuration.onDisconnected(name);
     this.forwarder.onConnectionLost(name, now);
   }
 
-  public dialFailed({ name }: MeshNode, detail: string, isRefused: boolean): void {
+  public onDialFailed({ name }: MeshNode, detail: string, isRefused: boolean): void {
     const now = this.options.clock();
     this.log(MeshEvent.DialFailed, { detail, peer: name });
     this.directory.onDialFailed(name, now);
     if (isRefused) this.forwarder.onNodeEnded(name, now);
   }
 
-  public frame(from: MeshNode, frame: MeshFrame): void {
+  public onFrame(from: MeshNode, frame: MeshFrame): void {
     const now = this.options.clock();
     switch (frame.kind) {
       case 'start':
-        this.announcer.onRequest(from.name, isSameZone(from, this.options.self), now);
+        this.loadAnnouncer.onRequest(from.name, isSameZone(from, this.options.self), now);
         this.gate.start(from.name, from.boot, frame, now);
         this.announceLoad(now);
         return;
@@ -389,69 +389,69 @@
         return;
       case 'configuration':
         if (frame.version > this.configuration.version) {
-          this.configuration.read(frame.content, from.name);
+          this.configuration.onContentReceived(frame.content, from.name);
         }
         return;
       case 'version':
-        this.configuration.versionHeard(from, frame.version);
-        this.configuration.eraTold(frame.storeEra);
+        this.configuration.onPeerVersion(from, frame.version);
+        this.configuration.onPeerEra(frame.storeEra);
         return;
       case 'store-reach':
-        this.configuration.storeReachTold(from.name, frame.reachesStore);
+        this.configuration.onPeerStoreReachability(from.name, frame.reachesStore);
         return;
       case 'pull':
-        this.configuration.asked(from.name);
+        this.configuration.onPullRequested(from.name);
         return;
       case 'members':
-        for (const member of frame.members) if (isMeshNode(member)) this.nodeMentioned(member);
-        this.directoryKeeper.tellNewlyKnown(from.name);
+        for (const member of frame.members) if (isMeshNode(member)) this.onNodeObserved(member);
+        this.directorySynchronizer.logObservedNodes(from.name);
         return;
       case 'leaving':
-        // The directory keeps it: it may start again while the store is away, and then waits to be dialed.
+        // The peer stays in the directory: if it restarts while the store is unreachable, it waits to be dialed.
         this.targets.remove(from.name);
     }
   }
 
   private send(node: string, frame: RequestFrame): boolean {
     if (node !== this.options.self.name) return this.options.ports().links.send(node, frame);
-    // The own gate answers in a later turn, like any other, so that no decision is entered twice.
+    // The local gate is called asynchronously like remote ones, so that the forwarder is not re-entered.
     this.options.defer(() => {
-      this.frame(this.options.self, frame);
+      this.onFrame(this.options.self, frame);
     });
     return true;
   }
 
-  private configured({ limits, routes, version }: RouteConfiguration): void {
+  private onConfigurationChanged({ limits, routes, version }: RouteConfiguration): void {
     const routeNames = new Set(routes.map(({ name }) => name));
-    this.split.retain(routeNames);
+    this.trafficSplit.retain(routeNames);
     this.forwarder.onConfigurationChange(routeNames, version);
     this.gate.onRoutesChanged(routeNames);
     this.options.ports().callers.configure(limits);
   }
 
-  /** Tells the nodes that send requests here how much the server has to do, after each event that changes it. */
+  /** Sends the current load to the nodes that send requests to this gate. Called after each event that changes it. */
   private announceLoad(now: number): void {
-    if (now < this.announceDueAt) return;
-    this.announceDueAt = now + announceMilliseconds;
+    if (now < this.announcementDueAt) return;
+    this.announcementDueAt = now + announcementIntervalMilliseconds;
     const load = this.gate.load(now);
-    for (const node of this.announcer.takeDueNodes(load, now)) {
+    for (const node of this.loadAnnouncer.takeDueNodes(load, now)) {
       if (node === this.options.self.name) this.targets.onLoadReported(node, load, now);
       else this.options.ports().links.send(node, { kind: 'load', load });
     }
   }
 
-  private reply(node: string, frame: ReplyFrame): void {
-    this.announcer.onReplySent(node, frame.load, this.options.clock());
+  private sendReply(node: string, frame: ReplyFrame): void {
+    this.loadAnnouncer.onReplySent(node, frame.load, this.options.clock());
     if (node !== this.options.self.name) {
       this.options.ports().links.send(node, frame);
       return;
     }
     this.options.defer(() => {
-      this.frame(this.options.self, frame);
+      this.onFrame(this.options.self, frame);
     });
   }
 
-  private loadChanged(): void {
+  private onLoadChanged(): void {
     const now = this.options.clock();
     const load = this.gate.load(now);
     this.targets.onLoadReported(this.options.self.name, load, now);
@@ -461,20 +461,21 @@
         : this.gate.lastEndedServer;
     const { links } = this.options.ports();
     links.broadcast({ endedServer, kind: 'load', load });
-    if (endedServer !== undefined) this.endRead = this.orAfter(links.whenRead());
+    if (endedServer !== undefined)
+      this.endAcknowledged = this.waitForAcknowledgement(links.whenRead());
   }
 
-  private async orAfter(read: Promise<void>): Promise<void> {
+  private async waitForAcknowledgement(acknowledged: Promise<void>): Promise<void> {
     await new Promise<void>((resolve) => {
-      const cancel = this.options.schedule(resolve, endReadMilliseconds);
-      void read.then(() => {
+      const cancel = this.options.schedule(resolve, endAcknowledgementTimeoutMilliseconds);
+      void acknowledged.then(() => {
         cancel();
         resolve();
       });
     });
   }
 
-  private takeServerMessage(message: ServerMessage): void {
+  private handleServerMessage(message: ServerMessage): void {
     const now = this.options.clock();
     switch (message.kind) {
       case 'report':
@@ -488,8 +489,8 @@
     }
   }
 
-  /** Others know which servers an earlier life of this process has shut for. */
-  private hearEndedServers({ endedServers }: MeshHelloFrame, now: number): void {
+  /** Records which lifetimes of the server have ended according to an earlier incarnation of this node. */
+  private recordEndedServers({ endedServers }: MeshHelloFrame, now: number): void {
     if (!Array.isArray(endedServers)) return;
     for (const server of endedServers as readonly unknown[]) {
       if (!isEndedServer(server) || !('node' in server)) continue;
@@ -497,51 +498,53 @@
     }
   }
 
-  /** Takes up what the server said once others have been heard, or there was time enough to. */
-  private hearServer(now: number): void {
-    if (this.inbox.isOpen) return;
-    const isHeard = this.directory.connectedCount > 0 && this.directoryKeeper.isMostlyConnected;
-    if (isHeard || now - this.startedAt >= hearOthersMilliseconds) this.inbox.open();
+  /** Delivers the buffered messages of the server once enough peers have connected, or after a time-out. */
+  private releaseServerMessages(now: number): void {
+    if (this.serverMessages.isReleased) return;
+    const hasGreetings =
+      this.directory.connectedCount > 0 && this.directorySynchronizer.isMostlyConnected;
+    if (hasGreetings || now - this.startedAt >= greetingTimeoutMilliseconds)
+      this.serverMessages.release();
   }
 
   private tick(): void {
     if (this.isClosed) return;
     const now = this.options.clock();
-    const { callers, links, stopped } = this.options.ports();
+    const { callers, links, onStopped } = this.options.ports();
     this.forwarder.tick(now);
     this.gate.tick(now);
     this.announceLoad(now);
-    if (now >= this.upkeepDueAt) this.keepUp(now);
-    if (this.stopPlan?.refusesRequests(now) === true) callers.refuse();
-    if (this.stopPlan?.mayEnd(now, this.inProgress) === true) {
+    if (now >= this.maintenanceDueAt) this.runMaintenance(now);
+    if (this.shutdown?.refusesRequests(now) === true) callers.refuse();
+    if (this.shutdown?.mayExit(now, this.inProgress) === true) {
       links.broadcast({ kind: 'leaving' });
       this.close();
-      stopped(this.gate.hasServerLeft);
+      onStopped(this.gate.hasServerLeft);
       return;
     }
     this.cancelTick = this.options.schedule(() => {
       this.tick();
-    }, this.untilNextTick(now));
+    }, this.millisecondsUntilNextTick(now));
   }
 
-  /** A tick wakes the process, so it comes only as soon as something depends on it. */
-  private untilNextTick(now: number): number {
-    if (this.gate.waiting > 0) return waitingTickMilliseconds;
-    if (this.inProgress === 0) return idleTickMilliseconds;
+  /** Each tick wakes the process, so the interval is only as short as the pending work requires. */
+  private millisecondsUntilNextTick(now: number): number {
+    if (this.gate.waiting > 0) return queuedTickIntervalMilliseconds;
+    if (this.inProgress === 0) return idleTickIntervalMilliseconds;
     const untilDeadline = Math.ceil(this.forwarder.nextDeadline - now);
-    return Math.min(busyTickMilliseconds, Math.max(1, untilDeadline));
+    return Math.min(busyTickIntervalMilliseconds, Math.max(1, untilDeadline));
   }
 
-  /** What depends on the number of nodes and can wait for an idle tick. */
-  private keepUp(now: number): void {
+  /** Work whose cost grows with the number of nodes, and which tolerates the interval of idle ticks. */
+  private runMaintenance(now: number): void {
     const { links } = this.options.ports();
-    this.upkeepDueAt = now + idleTickMilliseconds;
+    this.maintenanceDueAt = now + idleTickIntervalMilliseconds;
     links.tick(now);
     for (const node of this.directory.takeNodesToDial(now)) links.dial(node);
-    this.directoryKeeper.tick(now);
-    this.budget.setNodeCount(this.directory.nodeCount);
+    this.directorySynchronizer.tick(now);
+    this.retryBudget.setNodeCount(this.directory.nodeCount);
     this.configuration.tick(now);
-    this.hearServer(now);
+    this.releaseServerMessages(now);
     this.checkHealth(now);
   }
 
@@ -550,16 +553,16 @@
     return this.forwarder.inProgressCount + this.gate.inProgress + callers.inProgress;
   }
 
-  /** A node that started again learns its server's lifetime before the server's next report. */
+  /** After a restart, a health check identifies the server's lifetime before the server's next report. */
   private checkHealth(now: number): void {
-    if (this.gate.hasServer || now < this.healthDueAt || this.healthPath === undefined) return;
-    this.healthDueAt = Infinity;
+    if (this.gate.hasServer || now < this.healthCheckDueAt || this.healthPath === undefined) return;
+    this.healthCheckDueAt = Infinity;
     void this.options
       .ports()
       .server.health(this.healthPath)
       .then((answer) => {
-        this.healthDueAt = this.options.clock() + healthRetryMilliseconds;
-        this.healthAnswered(answer);
+        this.healthCheckDueAt = this.options.clock() + healthRetryDelayMilliseconds;
+        this.onHealthAnswer(answer);
       });
   }
 
@@ -569,7 +572,7 @@
     return path === '' ? undefined : path;
   }
 
-  /** Asks the server how fast it works at this moment. */
+  /** Asks the server for its current load, which shows slowdowns, with a health check. */
   private async probe(): Promise<void> {
     this.options.events.count('server_probes');
     const path = this.healthPath;
@@ -579,7 +582,7 @@
     this.gate.onProbeFinished(now);
   }
 
-  private healthAnswered(answer: HealthAnswer | undefined): void {
+  private onHealthAnswer(answer: HealthAnswer | undefined): void {
     this.log(MeshEvent.HealthChecked, {
       instance: answer?.instanceId ?? 'unknown',
       ready: answer?.isReady ?? false,
@@ -590,15 +593,15 @@
     this.gate.onServerLoad(answer.load, now);
   }
 
-  private log(event: string, fields: Fields): void {
+  private log(event: string, fields: LogFields): void {
     this.options.events.record(event, fields);
   }
 }
 
-/** Whether what another node sent names a lifetime of a server. */
+/** Validates a server lifetime that a peer sent. */
 function isEndedServer(value: unknown): value is EndedServer {
   if (typeof value !== 'object' || value === null || !('instanceId' in value)) return false;
   const startedAt = 'startedAt' in value ? value.startedAt : undefined;
-  const isStart = startedAt === undefined || Number.isSafeInteger(startedAt);
-  return isStart && typeof value.instanceId === 'string' && value.instanceId !== '';
+  const isValidStart = startedAt === undefined || Number.isSafeInteger(startedAt);
+  return isValidStart && typeof value.instanceId === 'string' && value.instanceId !== '';
 }
--- a/packages/daemon/src/mesh/mesh-settings.ts
+++ b/packages/daemon/src/mesh/mesh-settings.ts
@@ -1,12 +1,12 @@
 import type { LogLevel } from '../logging/format-line.js';
 
-/** An address that a process listens on or connects to. */
+/** An address to listen on or to connect to. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
 }
 
-/** What a node that routes by host and path is told at its start. */
+/** Settings of a node that routes by host and path. */
 export interface MeshSettings {
   readonly nodeName: string;
   readonly availabilityZone: string;
@@ -14,11 +14,11 @@
   /** The service of the server beside the node. */
   readonly service: string;
   readonly serverAddress: HostAndPort;
-  /** Callers on the machine, and the server, send their requests here. */
+  /** Address for requests of callers on the same machine, including the server. */
   readonly callerAddress: HostAndPort;
   readonly peerAddress: HostAndPort;
   readonly readinessAddress: HostAndPort;
-  /** The server tells of itself here. */
+  /** Address to which the server sends its reports. */
   readonly reportAddress: HostAndPort;
   readonly storeAddress: HostAndPort;
   readonly repeats: {
@@ -26,16 +26,16 @@
     readonly slack: number;
     readonly windowMilliseconds: number;
   };
-  /** Questions for the server's load and health that the node may ask in a second. */
+  /** Maximum number of load and health probes that the node sends to the server per second. */
   readonly probesPerSecond: number;
-  /** Bound on what all answers of the server that are being read hold together. */
+  /** Maximum total size of the server's answers that are being read. */
   readonly answerMemoryBytes: number;
-  /** Time between the signal to stop and the end of the process by force. */
+  /** Time between the stop signal and the forced termination of the process. */
   readonly graceMilliseconds: number;
   readonly logLevel: LogLevel;
 }
 
-/** One setting that can't be used. */
+/** An invalid or missing setting. */
 export interface SettingFault {
   readonly field: string;
   readonly expected: string;
@@ -45,7 +45,7 @@
   | {
       readonly kind: 'settings';
       readonly settings: MeshSettings;
-      /** Fields of the source that nobody knows; they are ignored and named in the log. */
+      /** Unknown fields of the settings source; they are ignored and logged. */
       readonly unknownFields: readonly string[];
     }
   | { readonly kind: 'faults'; readonly faults: readonly SettingFault[] };
--- a/packages/daemon/src/mesh/mesh-wiring.ts
+++ b/packages/daemon/src/mesh/mesh-wiring.ts
@@ -16,21 +16,21 @@
 import type { MeshNodePorts } from './mesh-node.js';
 import type { MeshSettings, SettingsResult } from './mesh-settings.js';
 import type { PlatformAdapter } from './platform-adapter.js';
-import { SettingsWatch } from './settings-watch.js';
+import { SettingsWatcher } from './settings-watcher.js';
 
-/** Where the readiness port serves the metrics. */
+/** Path of the metrics on the readiness port. */
 const metricsPath = '/metrics';
-/** Where nodes keep their entries in the store. */
+/** Prefix of the keys under which nodes store their directory entries. */
 const directoryPrefix = 'peridotspring/nodes/';
-/** A call to the store that takes longer is logged; it usually takes a few milliseconds. */
-const slowStoreMilliseconds = 500;
-/** The removal of the node's entry is not waited for longer than this when a process stops. */
-const leaveMilliseconds = 300;
+/** Calls to the store that take longer are logged; they usually take a few milliseconds. */
+const slowStoreCallMilliseconds = 500;
+/** Time-out at shutdown for closing the caller server and removing the node's directory entry. */
+const shutdownTimeoutMilliseconds = 300;
 
-/** A node that runs, as its process sees it. */
+/** Handle by which the process controls a running node. */
 export interface RunningMeshNode {
   stop(): void;
-  /** Reads the settings file now, as a signal asks. */
+  /** Reads the settings file now, for example after a signal. */
   reload(): void;
 }
 
@@ -38,16 +38,16 @@
   readonly settings: MeshSettings;
   readonly adapter: PlatformAdapter;
   readonly readSettings: () => Promise<SettingsResult>;
-  readonly stopped: () => void;
+  readonly onStopped: () => void;
 }
 
-/** Creates every part of a node that routes by host and path, connects them and starts to listen. */
+/** Creates and connects all components of a node that routes by host and path, and starts listening. */
 export async function startMeshNode(options: MeshWiringOptions): Promise<RunningMeshNode> {
-  const { adapter, settings, stopped } = options;
+  const { adapter, settings, onStopped } = options;
   const clock = (): number => performance.now();
   const metrics = new Metrics();
-  const events = createEvents(settings, metrics, clock);
-  const self = nodeOf(settings, Date.now());
+  const events = createEventRecorder(settings, metrics, clock);
+  const self = createSelf(settings, Date.now());
   const random = new SeededRandomSource((self.boot ^ process.pid) >>> 0);
   const driver = new MeshNodeDriver({
     clock,
@@ -81,7 +81,7 @@
     links,
     server,
     store: {
-      eraTold: (era) => {
+      observeEra: (era) => {
         store.session.eraTold(era);
       },
       refreshDirectory: () => {
@@ -96,25 +96,25 @@
         store.session.watchConfiguration(isWatching);
       },
     },
-    stopped: (isForGood) => {
-      // A process that is started again finds its entry as it was.
+    onStopped: (isPermanent) => {
+      // If the process will be restarted, its directory entry stays in the store.
       const closing = [callers.close()];
-      if (isForGood) closing.push(store.session.leave());
+      if (isPermanent) closing.push(store.session.leave());
       else store.session.close();
       links.close();
-      void Promise.race([Promise.all(closing), delay(leaveMilliseconds)]).then(stopped);
+      void Promise.race([Promise.all(closing), delay(shutdownTimeoutMilliseconds)]).then(onStopped);
     },
   };
   registerMeshGauges(metrics, {
-    figures: () => driver.figures,
-    serviceFigures: () => driver.serviceFigures,
+    gaugeValues: () => driver.gaugeValues,
+    serviceGaugeValues: () => driver.serviceGaugeValues,
   });
   const { host, port } = settings.reportAddress;
   const reports = new ReportServer({
     bindHost: host,
     bindPort: port,
     codec: adapter.serverMessages,
-    deliver: (message) => driver.serverMessage(message),
+    deliver: (message) => driver.onServerMessage(message),
   });
   const readiness = new ReadinessServer(
     settings.readinessAddress.host,
@@ -132,60 +132,60 @@
   await Promise.all([links.listen(), callers.listen(), reports.listen(), readiness.listen()]);
   driver.start();
   events.record(MeshEvent.NodeStarted, { boot: self.boot, service: self.service });
-  const watch = createSettingsWatch(options, driver, events);
+  const settingsWatcher = createSettingsWatcher(options, driver, events);
   return {
     reload: () => {
-      void watch.check();
+      void settingsWatcher.check();
     },
     stop: () => {
-      watch.close();
+      settingsWatcher.close();
       events.record(MeshEvent.NodeStopping, {});
       driver.stop();
     },
   };
 }
 
-function createEvents(
+function createEventRecorder(
   { logLevel, nodeName }: MeshSettings,
   metrics: Metrics,
   clock: () => number,
 ): EventRecorder {
-  const log = new Logger(logLevel);
+  const logger = new Logger(logLevel);
   return new EventRecorder({
     clock,
     metrics,
     wallClock: () => Date.now(),
     write: (event, fields, time) => {
-      const named = { node: nodeName, ...fields };
-      log.command({ event, fields: named, kind: 'log', level: 'info' }, time);
+      const fieldsWithNode = { node: nodeName, ...fields };
+      logger.command({ event, fields: fieldsWithNode, kind: 'log', level: 'info' }, time);
     },
   });
 }
 
-function createSettingsWatch(
+function createSettingsWatcher(
   { readSettings, settings }: MeshWiringOptions,
   driver: MeshNodeDriver,
   events: EventRecorder,
-): SettingsWatch {
-  return new SettingsWatch({
-    changed: (changed, fields) => {
+): SettingsWatcher {
+  return new SettingsWatcher({
+    onChange: (changed, fields) => {
       events.record(MeshEvent.SettingsReloaded, { changed: fields.join() });
       driver.applySettings(changed);
     },
-    invalid: (faults) => {
+    onInvalid: (faults) => {
       for (const { expected, field } of faults) {
         events.record(MeshEvent.SettingsInvalid, { expected, field });
       }
     },
     read: readSettings,
     settings,
-    unknown: (fields) => {
+    onUnknownFields: (fields) => {
       events.record(MeshEvent.SettingsFieldUnknown, { fields: fields.join() });
     },
   });
 }
 
-function nodeOf(settings: MeshSettings, boot: number): MeshNode {
+function createSelf(settings: MeshSettings, boot: number): MeshNode {
   const { availabilityZone, nodeName, peerAddress, region, service } = settings;
   const address = `${peerAddress.host}:${peerAddress.port}`;
   return { address, availabilityZone, boot, name: nodeName, region, service };
@@ -205,10 +205,10 @@
     bindPort: settings.callerAddress.port,
     clock,
     onRequest: (request) => {
-      driver.callerRequest(request);
+      driver.onCallerRequest(request);
     },
     onCallerGone: (requestNumber) => {
-      driver.callerGone(requestNumber);
+      driver.onCallerDisconnected(requestNumber);
     },
     headerNames: adapter.callerHeaders,
     onRequestsDiscarded: (requests) => {
@@ -216,7 +216,7 @@
     },
     routing: () => driver.routing,
     onPipelineWait: ({ beforeStartMilliseconds, requestId, withAnswerMilliseconds }) => {
-      events.waitedBehind({
+      events.recordHeadOfLineWait({
         beforeStart: Math.round(beforeStartMilliseconds),
         request: requestId,
         withAnswer: Math.round(withAnswerMilliseconds),
@@ -237,16 +237,16 @@
     clock,
     events: {
       onConnected: (hello) => {
-        driver.connected(hello);
+        driver.onConnected(hello);
       },
       onDialFailed: (node, detail, isRefused) => {
-        driver.dialFailed(node, detail, isRefused);
+        driver.onDialFailed(node, detail, isRefused);
       },
       onDisconnected: (node, detail) => {
-        driver.disconnected(node, detail);
+        driver.onDisconnected(node, detail);
       },
       onFrame: (from, frame) => {
-        driver.frame(from, frame);
+        driver.onFrame(from, frame);
       },
     },
     helloPayload: () => driver.greeting,
@@ -264,27 +264,27 @@
     clock,
     codec: adapter.serverHeaders,
     concluded: (executionId, result) => {
-      driver.executionConcluded(executionId, result);
+      driver.onExecutionConcluded(executionId, result);
     },
     host: settings.serverAddress.host,
     load: (load) => {
-      driver.serverLoad(load);
+      driver.onServerLoad(load);
     },
     otherInstance: (instanceId) => {
-      driver.otherInstance(instanceId);
+      driver.onUnexpectedInstance(instanceId);
     },
     port: settings.serverAddress.port,
   });
 }
 
-interface StoreTools {
+interface StoreDependencies {
   readonly clock: () => number;
   readonly events: EventRecorder;
   readonly metrics: Metrics;
   readonly random: () => number;
 }
 
-interface StoreParts {
+interface StoreConnection {
   readonly session: StoreSession;
   readonly transport: HttpStoreTransport;
 }
@@ -293,15 +293,15 @@
   { adapter, settings }: MeshWiringOptions,
   self: MeshNode,
   driver: MeshNodeDriver,
-  { clock, events, metrics, random }: StoreTools,
-): StoreParts {
+  { clock, events, metrics, random }: StoreDependencies,
+): StoreConnection {
   const transport = new HttpStoreTransport({
     clock,
     codec: adapter.storeCalls,
     contentType: adapter.storeContentType,
     host: settings.storeAddress.host,
     observed: (call, outcome, milliseconds) => {
-      if (outcome !== 'ok' || milliseconds > slowStoreMilliseconds) {
+      if (outcome !== 'ok' || milliseconds > slowStoreCallMilliseconds) {
         events.record(MeshEvent.StoreCalled, {
           call,
           milliseconds: Math.round(milliseconds),
@@ -315,27 +315,27 @@
     clock,
     codec: adapter.storeCalls,
     configurationRead: (content) => {
-      driver.configurationRead(content);
+      driver.onConfigurationRead(content);
     },
     directoryPrefix,
     directoryRead: () => {
-      driver.directoryRead();
+      driver.onDirectoryRead();
     },
     entry: encodeDirectoryEntry(self),
     isEntryCurrent: (stored) => isSameEntry(decodeDirectoryEntry(stored), self),
     eraSeen: (era, isRestored) => {
-      driver.storeEraSeen(era, isRestored);
+      driver.onStoreEraObserved(era, isRestored);
     },
     entryRead: ({ value }) => {
       const node = decodeDirectoryEntry(value);
-      if (node !== undefined) driver.nodeMentioned(node);
+      if (node !== undefined) driver.onNodeObserved(node);
     },
     nodeName: self.name,
     random,
     reachabilityChanged: (isReachable, detail) => {
       const event = isReachable ? MeshEvent.StoreReachable : MeshEvent.StoreUnreachable;
       events.record(event, { detail });
-      driver.storeReached(isReachable);
+      driver.onStoreReachabilityChanged(isReachable);
     },
     transport,
   });
--- a/packages/daemon/src/mesh/platform-adapter.ts
+++ b/packages/daemon/src/mesh/platform-adapter.ts
@@ -3,12 +3,12 @@
 import type { StoreCallCodec } from '@peridotspring/platform/key-values';
 import type { ServerHeaderCodec, ServerMessageCodec } from '@peridotspring/upstreams/mesh';
 
-/** A configuration that was read, or why it can't be used. */
+/** A decoded configuration, or the reason why it is invalid. */
 export type DecodedConfiguration =
   | { readonly kind: 'configuration'; readonly configuration: RouteConfiguration }
   | { readonly kind: 'invalid'; readonly field: string; readonly message: string };
 
-/** Names and forms of everything that a node exchanges with the platform it runs on. */
+/** Header names, encodings and paths of everything that a node exchanges with its platform. */
 export interface PlatformAdapter {
   readonly callerHeaders: CallerHeaderNames;
   readonly serverHeaders: ServerHeaderCodec;
--- a/packages/daemon/tests/line-writer.test.ts
+++ b/packages/daemon/tests/line-writer.test.ts
@@ -3,19 +3,19 @@
 
 import { LineWriter } from '../src/mesh/index.js';
 
-const textOf = (bytes: Uint8Array): string => Buffer.from(bytes).toString();
+const decodeText = (bytes: Uint8Array): string => Buffer.from(bytes).toString();
 
 function errorWith(code: string): NodeJS.ErrnoException {
   return Object.assign(new Error(code), { code });
 }
 
-test('a reader that stops costs lines, which are counted, and holds nothing else up', () => {
+test('if the reader stops, lines are dropped and counted, and writes do not block', () => {
   const pending: (() => void)[] = [];
   const written: string[] = [];
   const writer = new LineWriter({
     maximumBytes: 100,
     write: (bytes, done) => {
-      written.push(textOf(bytes));
+      written.push(decodeText(bytes));
       pending.push(() => {
         done(null, bytes.length);
       });
@@ -35,11 +35,11 @@
   assert.is(written.at(-1), 'later\n');
 });
 
-test('lines leave together and in their order', () => {
+test('lines are written in one batch and in their order', () => {
   const written: string[] = [];
   const writer = new LineWriter({
     write: (bytes, done) => {
-      written.push(textOf(bytes));
+      written.push(decodeText(bytes));
       done(null, bytes.length);
     },
   });
@@ -49,8 +49,8 @@
   assert.equal(written, ['a\nb\n']);
 });
 
-// A pipe that is nearly full takes a part of the bytes; the rest was lost without a count.
-test('what a pipe did not take is written again', async () => {
+// Regression: a nearly full pipe accepts only a part of the bytes, and the rest was lost without being counted.
+test('bytes that a pipe did not accept are written again', async () => {
   let taken = '';
   let calls = 0;
   const writer = new LineWriter({
@@ -60,7 +60,7 @@
         done(errorWith('EAGAIN'), 0);
         return;
       }
-      taken += textOf(bytes.subarray(0, 4));
+      taken += decodeText(bytes.subarray(0, 4));
       done(null, Math.min(4, bytes.length));
     },
   });
@@ -72,7 +72,7 @@
   assert.is(writer.droppedLines, 0);
 });
 
-test('lines that can not be written are counted', () => {
+test('lines that cannot be written are counted', () => {
   const writer = new LineWriter({
     write: (_bytes, done) => {
       done(errorWith('EPIPE'), 0);
--- a/packages/daemon/tests/logging/format-line.test.ts
+++ b/packages/daemon/tests/logging/format-line.test.ts
@@ -4,8 +4,8 @@
 
 import { formatLine, formatValue } from '../../src/index.js';
 
-/** Values that a caller could send, and how they have to be written. */
-const values: readonly (readonly [string | number | boolean, string])[] = [
+/** Values that a caller could send, and their expected format. */
+const formatCases: readonly (readonly [string | number | boolean, string])[] = [
   ['/claims/7', '/claims/7'],
   ['', '""'],
   [7.5, '7.5'],
@@ -25,13 +25,13 @@
   ['\u{1f33e}', '"\u{1f33e}"'],
 ];
 
-for (const [value, expected] of values) {
-  test(`no value can forge a key, a value or a line: ${JSON.stringify(value)}`, () => {
+for (const [value, expected] of formatCases) {
+  test(`a value cannot forge a key, a value or a line: ${JSON.stringify(value)}`, () => {
     assert.is(formatValue(value), expected);
   });
 }
 
-test('a field can replace neither the time nor the level nor the event', () => {
+test('a field cannot replace the time, the level or the event', () => {
   const fields = { 'a b\n': 1, event: 'x', level: 'error', time: 2 };
   const line = formatLine({ event: 'real', fields, level: 'info', time: 0 });
   assert.is(
@@ -40,11 +40,11 @@
   );
 });
 
-test('a long value is cut, so that one request does not fill the log', () => {
+test('a long value is truncated, so that a single request cannot fill the log', () => {
   assert.ok(formatValue('x'.repeat(100_000)).length < 1_100);
 });
 
-test('any value stays on one line and can be read back', () => {
+test('any value stays on one line and can be parsed back', () => {
   fc.assert(
     fc.property(fc.string({ maxLength: 200, unit: 'binary' }), (value) => {
       const line = formatLine({ event: 'e', fields: { value }, level: 'info', time: 0 });
--- a/packages/daemon/tests/logging/log-events-page.test.ts
+++ b/packages/daemon/tests/logging/log-events-page.test.ts
@@ -19,34 +19,34 @@
     .join('\n');
 }
 
-const page = readFileSync(new URL('docs/OPERATIONS.md', root), 'utf8');
+const operationsPage = readFileSync(new URL('docs/OPERATIONS.md', root), 'utf8');
 
-// Operators alert by event names: one that is on no page, or is never logged, misleads them.
-test('each event of the daemon is logged and stands on the page', () => {
+// Operators configure alerts by event names, so each name must be documented and must actually be logged.
+test('each event of the daemon is logged and documented', () => {
   const source = sourceText('packages/daemon/src/');
   for (const [name, event] of Object.entries(LogEvent)) {
     assert.ok(source.includes(`LogEvent.${name}`), `${event} is never logged`);
-    assert.ok(page.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
+    assert.ok(operationsPage.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
   }
 });
 
-test('each event of the core stands on the page', () => {
+test('each event of the core is documented', () => {
   const source = sourceText('packages/core/src/');
   const events = [...source.matchAll(/\.log\((?:'info', |'warn', )?'([a-z-]+)'/g)];
   assert.ok(events.length >= 3);
   for (const [, event = ''] of events) {
-    assert.ok(page.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
+    assert.ok(operationsPage.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
   }
 });
 
-test('each event of the routing node is logged and stands on the page', () => {
+test('each event of the routing node is logged and documented', () => {
   const source = `${sourceText('packages/daemon/src/')}${sourceText('platform/src/')}`;
   for (const [name, event] of Object.entries(MeshEvent)) {
     assert.ok(source.includes(`MeshEvent.${name}`), `${event} is never logged`);
-    assert.ok(page.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
+    assert.ok(operationsPage.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
   }
   for (const event of [...Object.values(EntryEventName), ...Object.values(GateEventName)]) {
-    assert.ok(page.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
+    assert.ok(operationsPage.includes(`| \`${event}\``), `${event} is not in docs/OPERATIONS.md`);
   }
 });
 
--- a/packages/daemon/tests/logging/logger.test.ts
+++ b/packages/daemon/tests/logging/logger.test.ts
@@ -3,15 +3,15 @@
 
 import { installLogWriter, LogEvent, Logger } from '../../src/index.js';
 
-function linesOf(run: (logger: Logger) => void): readonly string[] {
+function logLines(run: (logger: Logger) => void): readonly string[] {
   const lines: string[] = [];
   installLogWriter((line) => lines.push(line));
   run(new Logger('info'));
   return lines;
 }
 
-test('an event is one line through roarr, and fields do not mix with its context', () => {
-  const lines = linesOf((logger) => {
+test('roarr writes an event as one line, and fields do not replace properties of its context', () => {
+  const lines = logLines((logger) => {
     logger.info(LogEvent.NodeStarted, { logLevel: 99, server: '100%s %d\n' });
   });
   assert.is(lines.length, 1);
@@ -21,8 +21,8 @@
   );
 });
 
-test('events below the level are left out', () => {
-  const lines = linesOf((logger) => {
+test('events below the minimum level are not logged', () => {
+  const lines = logLines((logger) => {
     logger.debug(LogEvent.PeerLost);
     logger.command({ event: 'suspected', fields: {}, kind: 'log', level: 'debug' });
     logger.command({ event: 'suspected', fields: { server: 'a' }, kind: 'log', level: 'warn' });
@@ -31,7 +31,7 @@
   assert.match(lines[0] ?? '', /level=warn event=suspected server=a/);
 });
 
-test('event names are stable words without spaces', () => {
+test('event names are lower-case words joined by hyphens', () => {
   for (const name of Object.values(LogEvent)) assert.match(name, /^[a-z]+(-[a-z]+)*$/);
 });
 
--- a/packages/daemon/tests/mesh-parts.test.ts
+++ b/packages/daemon/tests/mesh-parts.test.ts
@@ -2,10 +2,10 @@
 import * as assert from 'uvu/assert';
 
 import { decodeDirectoryEntry, encodeDirectoryEntry } from '../src/mesh/mesh-directory-entry.js';
-import { StopPlan } from '../src/mesh/stop-plan.js';
+import { GracefulShutdown } from '../src/mesh/graceful-shutdown.js';
 
-/** Time since the signal, requests in progress, and whether the process may end. */
-const ends: readonly (readonly [number, number, boolean])[] = [
+/** Milliseconds since the stop signal, requests in progress, and whether the process may exit. */
+const exitCases: readonly (readonly [number, number, boolean])[] = [
   [0, 0, false],
   [2_000, 0, false],
   [2_400, 0, true],
@@ -14,16 +14,16 @@
   [5_300, 1, true],
 ];
 
-for (const [elapsed, inProgress, mayEnd] of ends) {
-  test(`${elapsed} ms after the signal with ${inProgress} in progress: ${mayEnd ? 'ends' : 'goes on'}`, () => {
-    assert.is(new StopPlan(1_000, 6_000).mayEnd(1_000 + elapsed, inProgress), mayEnd);
+for (const [elapsed, inProgress, mayExit] of exitCases) {
+  test(`${elapsed} ms after the stop signal, ${inProgress} requests in progress: the process ${mayExit ? 'may' : 'must not'} exit`, () => {
+    assert.is(new GracefulShutdown(1_000, 6_000).mayExit(1_000 + elapsed, inProgress), mayExit);
   });
 }
 
-test('requests that could not end before the process does are refused', () => {
-  const plan = new StopPlan(0, 6_000);
-  assert.not(plan.refusesRequests(2_900));
-  assert.ok(plan.refusesRequests(3_100));
+test('requests are refused that might not complete before the process exits', () => {
+  const shutdown = new GracefulShutdown(0, 6_000);
+  assert.not(shutdown.refusesRequests(2_900));
+  assert.ok(shutdown.refusesRequests(3_100));
 });
 
 const node = {
@@ -35,22 +35,22 @@
   service: 'shop',
 };
 
-test('an entry of the directory is read as it was written', () => {
+test('a directory entry is decoded to the node that was encoded', () => {
   assert.equal(decodeDirectoryEntry(encodeDirectoryEntry(node)), node);
 });
 
-/** What another writer may leave in the directory: it names no node. */
-const foreign: readonly (readonly [string, Uint8Array])[] = [
-  ['bytes that are no text', Buffer.from([0xff, 0xfe, 0x00])],
-  ['another form', Buffer.from('null')],
-  ['a list', Buffer.from('[]')],
+/** Values that other programs may write to the directory; none is a valid entry. */
+const invalidEntries: readonly (readonly [string, Uint8Array])[] = [
+  ['bytes that are not valid UTF-8', Buffer.from([0xff, 0xfe, 0x00])],
+  ['null instead of an object', Buffer.from('null')],
+  ['an array instead of an object', Buffer.from('[]')],
   ['a missing field', Buffer.from(JSON.stringify({ ...node, address: undefined }))],
   ['a field of another type', Buffer.from(JSON.stringify({ ...node, boot: '12' }))],
   ['an empty name', Buffer.from(JSON.stringify({ ...node, name: '' }))],
 ];
 
-for (const [name, value] of foreign) {
-  test(`an entry with ${name} names no node`, () => {
+for (const [name, value] of invalidEntries) {
+  test(`a directory entry with ${name} is rejected`, () => {
     assert.is(decodeDirectoryEntry(value), undefined);
   });
 }
--- a/packages/daemon/tests/operators/metrics-page.test.ts
+++ b/packages/daemon/tests/operators/metrics-page.test.ts
@@ -6,7 +6,7 @@
 import * as assert from 'uvu/assert';
 
 import { registerMeshGauges } from '../../src/mesh/mesh-gauges.js';
-import type { MeshFigures, MeshServiceFigures } from '../../src/mesh/mesh-gauges.js';
+import type { MeshGaugeValues, MeshServiceGaugeValues } from '../../src/mesh/mesh-gauges.js';
 import { registerGauges } from '../../src/operators/gauges.js';
 import type { GaugeSources } from '../../src/operators/gauges.js';
 
@@ -41,8 +41,8 @@
   // Only the names are asked for, so the sources of the values are never read.
   registerGauges(metrics, {} as GaugeSources);
   registerMeshGauges(metrics, {
-    figures: () => ({}) as MeshFigures,
-    serviceFigures: () => ({}) as MeshServiceFigures,
+    gaugeValues: () => ({}) as MeshGaugeValues,
+    serviceGaugeValues: () => ({}) as MeshServiceGaugeValues,
   });
   return [...own.map(([, name]) => name ?? ''), ...gauges];
 }
--- a/packages/daemon/tests/server-inbox.test.ts
+++ b/packages/daemon/tests/server-message-buffer.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { ServerInbox } from '../src/mesh/server-inbox.js';
+import { ServerMessageBuffer } from '../src/mesh/server-message-buffer.js';
 
 function report(instanceId: string, draining = false): ServerMessage {
   return {
@@ -53,11 +53,11 @@
 for (const [name, before, after, expected] of cases) {
   test(name, () => {
     const taken: ServerMessage[] = [];
-    const inbox = new ServerInbox((message) => taken.push(message));
+    const inbox = new ServerMessageBuffer((message) => taken.push(message));
     for (const message of before) inbox.receive(message);
-    if (after.length > 0) inbox.open();
+    if (after.length > 0) inbox.release();
     for (const message of after) inbox.receive(message);
-    assert.is(inbox.isOpen, after.length > 0);
+    assert.is(inbox.isReleased, after.length > 0);
     assert.equal(taken, expected);
   });
 }
--- a/packages/daemon/tests/virtual-mesh/event-queue.ts
+++ b/packages/daemon/tests/virtual-mesh/event-queue.ts
@@ -1,27 +1,27 @@
 import { MinimumHeap } from '@peridotspring/core';
 
-interface Event {
+interface QueuedEvent {
   readonly action: () => void;
   isCancelled: boolean;
 }
 
-/** Time that passes only from one event to the next. */
+/** Virtual clock and event queue: time advances directly from one scheduled event to the next. */
 export class EventQueue {
   public now = 0;
-  private readonly events = new MinimumHeap<Event>();
-  /** Keeps events of the same time in the order in which they were added. */
-  private added = 0;
+  private readonly events = new MinimumHeap<QueuedEvent>();
+  /** Offset that keeps events with the same time in the order in which they were added. */
+  private addedCount = 0;
 
   public after(milliseconds: number, action: () => void): () => void {
-    const event: Event = { action, isCancelled: false };
-    this.added += 1;
-    this.events.push(this.now + milliseconds + this.added * 1e-9, event);
+    const event: QueuedEvent = { action, isCancelled: false };
+    this.addedCount += 1;
+    this.events.push(this.now + milliseconds + this.addedCount * 1e-9, event);
     return () => {
       event.isCancelled = true;
     };
   }
 
-  /** Plays the events up to a time. Promises that an event settles are followed before the next one. */
+  /** Runs all events up to the time. Continuations of promises that an event settles run before the next event. */
   public async runUntil(time: number): Promise<void> {
     for (;;) {
       const due = this.events.peekTime();
--- a/packages/daemon/tests/virtual-mesh/main.ts
+++ b/packages/daemon/tests/virtual-mesh/main.ts
@@ -1,6 +1,6 @@
-import { playMesh } from './play-mesh.js';
+import { simulateMesh } from './simulate-mesh.js';
 
-/** Usage: node main.js [first seed] [number of seeds] [availability zones] [machines] [1: the store is restored from copies]. */
+/** Usage: node main.js [first seed] [number of seeds] [availability zones] [machines] [1: restores of the store]. */
 const [first = 1, count = 1_000, zones = 2, machines = 5, restores = 0] = process.argv
   .slice(2)
   .map(Number);
@@ -8,13 +8,14 @@
 let requests = 0;
 let answered = 0;
 for (let seed = first; seed < first + count; seed += 1) {
-  const result = await playMesh(seed, { machines, restoresStore: restores > 0, zones });
+  const result = await simulateMesh(seed, { machines, restoresStore: restores > 0, zones });
   requests += result.requests;
   answered += result.answered;
-  if (result.broken.length === 0) continue;
+  if (result.violations.length === 0) continue;
   failed += 1;
   console.log(`FAIL seed ${seed}`);
-  for (const line of [...result.broken.slice(0, 10), ...result.played]) console.log(`  ${line}`);
+  for (const line of [...result.violations.slice(0, 10), ...result.injectedFaults])
+    console.log(`  ${line}`);
 }
 console.log(`${answered} of ${requests} requests answered`);
 console.log(`${count - failed} passed, ${failed} failed`);
--- a/packages/daemon/tests/virtual-mesh/virtual-links.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-links.ts
@@ -3,7 +3,7 @@
 import type { MeshNodeDriver } from '../../src/mesh/mesh-node.js';
 import type { EventQueue } from './event-queue.js';
 
-/** A life of a node's process, as the links between nodes see it. */
+/** One incarnation of a node, as the links between nodes see it. */
 export interface LinkedNode {
   readonly self: MeshNode;
   readonly driver: MeshNodeDriver;
@@ -14,43 +14,44 @@
   isOpen: boolean;
 }
 
-const wayMilliseconds = 1;
-/** Nodes notice after this time that nothing comes through any more. */
-const silenceMilliseconds = 600;
+const oneWayLatencyMilliseconds = 1;
+/** A node detects after this time that a connection does not deliver anything any more. */
+const silenceTimeoutMilliseconds = 600;
 
-/** The network between nodes: ordered connections that are cut, lost, and dialed again. */
+/** The network between nodes: ordered connections that can be blocked, reset and dialed again. */
 export class VirtualLinks {
   private readonly connections = new Map<string, Connection>();
-  private readonly cuts = new Set<string>();
+  private readonly blockedConnections = new Set<string>();
 
   public constructor(
     private readonly queue: EventQueue,
-    private readonly liveNode: (name: string) => LinkedNode | undefined,
+    private readonly findLiveNode: (name: string) => LinkedNode | undefined,
   ) {}
 
   public dial(from: LinkedNode, to: MeshNode): void {
-    const key = keyOf(from.self.name, to.name);
-    this.queue.after(wayMilliseconds, () => {
-      if (this.liveNode(from.self.name) !== from) return;
-      if (this.cuts.has(key)) {
-        this.queue.after(silenceMilliseconds, () => {
-          from.driver.dialFailed(to, 'timed out', false);
+    const key = connectionKey(from.self.name, to.name);
+    this.queue.after(oneWayLatencyMilliseconds, () => {
+      if (this.findLiveNode(from.self.name) !== from) return;
+      if (this.blockedConnections.has(key)) {
+        this.queue.after(silenceTimeoutMilliseconds, () => {
+          from.driver.onDialFailed(to, 'timed out', false);
         });
         return;
       }
-      const target = this.liveNode(to.name);
-      if (target === undefined) from.driver.dialFailed(to, 'refused', true);
+      const target = this.findLiveNode(to.name);
+      if (target === undefined) from.driver.onDialFailed(to, 'refused', true);
       else this.connect(key, from, target);
     });
   }
 
   public send(from: LinkedNode, name: string, frame: MeshFrame): boolean {
-    const connection = this.connections.get(keyOf(from.self.name, name));
+    const connection = this.connections.get(connectionKey(from.self.name, name));
     if (connection?.isOpen !== true || !connection.ends.includes(from)) return false;
     const to = connection.ends[0] === from ? connection.ends[1] : connection.ends[0];
-    this.queue.after(wayMilliseconds, () => {
-      if (!connection.isOpen || this.cuts.has(keyOf(from.self.name, name))) return;
-      to.driver.frame(from.self, frame);
+    this.queue.after(oneWayLatencyMilliseconds, () => {
+      if (!connection.isOpen || this.blockedConnections.has(connectionKey(from.self.name, name)))
+        return;
+      to.driver.onFrame(from.self, frame);
     });
     return true;
   }
@@ -63,45 +64,46 @@
     }
   }
 
-  /** Settles when the nodes connected to this one have read what it sent before, or are connected no more. */
-  public async whenRead(from: LinkedNode): Promise<void> {
-    const open = [...this.connections.values()].filter(({ ends }) => ends.includes(from));
-    const reads = open.map(
+  /** Settles when each connected node has received everything sent to it before, or its connection has ended. */
+  public async whenAcknowledged(from: LinkedNode): Promise<void> {
+    const ownConnections = [...this.connections.values()].filter(({ ends }) => ends.includes(from));
+    const acknowledgements = ownConnections.map(
       (connection) =>
         new Promise<void>((resolve) => {
           const check = (): void => {
-            const isCut = this.cuts.has(keyOf(...names(connection)));
-            if (!connection.isOpen || !isCut) resolve();
-            else this.queue.after(wayMilliseconds, check);
+            const isBlocked = this.blockedConnections.has(connectionKey(...endNames(connection)));
+            if (!connection.isOpen || !isBlocked) resolve();
+            else this.queue.after(oneWayLatencyMilliseconds, check);
           };
-          this.queue.after(2 * wayMilliseconds, check);
+          this.queue.after(2 * oneWayLatencyMilliseconds, check);
         }),
     );
-    await Promise.all(reads);
+    await Promise.all(acknowledgements);
   }
 
-  /** A process has ended; the other ends of its connections are reset. */
-  public ended(node: LinkedNode): void {
+  /** Resets the connections of a node whose process has ended. */
+  public onProcessEnded(node: LinkedNode): void {
     for (const connection of [...this.connections.values()]) {
       if (connection.ends.includes(node)) this.close(connection, 'reset');
     }
   }
 
-  /** What is sent between two nodes is lost from now on. */
-  public cut(first: string, second: string): void {
-    const key = keyOf(first, second);
-    this.cuts.add(key);
-    this.queue.after(silenceMilliseconds, () => {
+  /** From now on, frames between the two nodes are lost. */
+  public blockConnection(first: string, second: string): void {
+    const key = connectionKey(first, second);
+    this.blockedConnections.add(key);
+    this.queue.after(silenceTimeoutMilliseconds, () => {
       const connection = this.connections.get(key);
-      if (this.cuts.has(key) && connection !== undefined) this.close(connection, 'silent');
+      if (this.blockedConnections.has(key) && connection !== undefined)
+        this.close(connection, 'silent');
     });
   }
 
-  public heal(): void {
-    this.cuts.clear();
+  public unblockConnections(): void {
+    this.blockedConnections.clear();
   }
 
-  /** All connections are lost at once and may be dialed again. */
+  /** Resets all connections at once; they may be dialed again. */
   public resetAll(): void {
     for (const connection of [...this.connections.values()]) this.close(connection, 'reset');
   }
@@ -113,7 +115,7 @@
       [from, to],
       [to, from],
     ] as const) {
-      node.driver.connected({
+      node.driver.onConnected({
         ...other.driver.greeting,
         kind: 'hello',
         node: other.self,
@@ -125,20 +127,21 @@
   private close(connection: Connection, detail: string): void {
     const [first, second] = connection.ends;
     connection.isOpen = false;
-    this.connections.delete(keyOf(first.self.name, second.self.name));
+    this.connections.delete(connectionKey(first.self.name, second.self.name));
     for (const [node, other] of [
       [first, second],
       [second, first],
     ] as const) {
-      if (this.liveNode(node.self.name) === node) node.driver.disconnected(other.self, detail);
+      if (this.findLiveNode(node.self.name) === node)
+        node.driver.onDisconnected(other.self, detail);
     }
   }
 }
 
-function names({ ends: [first, second] }: Connection): [string, string] {
+function endNames({ ends: [first, second] }: Connection): [string, string] {
   return [first.self.name, second.self.name];
 }
 
-function keyOf(first: string, second: string): string {
+function connectionKey(first: string, second: string): string {
   return first < second ? `${first} ${second}` : `${second} ${first}`;
 }
--- a/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
@@ -13,21 +13,21 @@
 import type { LinkedNode } from './virtual-links.js';
 import { VirtualServer } from './virtual-server.js';
 
-/** Small, so that the losses of a play reach the bound. */
-export const repeats = { ratio: 0.05, slack: 6, windowMilliseconds: 10_000 } as const;
+/** Small, so that the faults of a simulation exhaust the budget. */
+export const retryBudget = { ratio: 0.05, slack: 6, windowMilliseconds: 10_000 } as const;
 export const timeoutMilliseconds = 1_000;
 export const targetMilliseconds = 300;
 const slots = 4;
-const startMilliseconds = 30;
-/** Share of reads of the store that an overtaken answer comes to. */
-const oldReadShare = 0.2;
+const maximumStartDelayMilliseconds = 30;
+/** Share of reads of the store that return an outdated answer. */
+const staleReadShare = 0.2;
 const graceMilliseconds = 4_000;
-/** Time in which an operator writes again what the store has lost. */
-const operatorNoticeMilliseconds = 1_000;
-/** A renewal of the lease and the time in which its answer is awaited. */
-const noticeMilliseconds = 4_500;
+/** Time within which an operator writes the configuration again that the store lost in a restore. */
+const maximumOperatorReactionMilliseconds = 1_000;
+/** Interval of lease renewals plus the time-out of a renewal. */
+const maximumStoreLossDetectionMilliseconds = 4_500;
 
-/** What became of one request at its entry. */
+/** A request and its outcomes at its entry. */
 export interface VirtualRequest {
   readonly requestId: string;
   readonly isIdempotent: boolean;
@@ -42,25 +42,24 @@
   readonly name: string;
   readonly availabilityZone: string;
   readonly server: VirtualServer;
-  /** The life of the node's process; undefined while it is down. */
+  /** The current incarnation of the node; undefined while it is down. */
   node: LinkedNode | undefined;
-  readsStore: boolean;
-  /** The node watches the configuration in the store. */
-  watches: boolean;
-  /** The node does not reach the store any more. */
-  storeIsLost: boolean;
-  /** The era of the store that the node has seen. */
+  canReadStore: boolean;
+  isWatchingConfiguration: boolean;
+  /** The node cannot reach the store, permanently. */
+  hasLostStore: boolean;
+  /** The newest era of the store that the node has observed. */
   era: number | undefined;
 }
 
-/** What the store held since a time. */
-interface StoreCopy {
+/** The content of the store since a point in time. */
+interface StoreSnapshot {
   readonly since: number;
   readonly entries: ReadonlyMap<string, MeshNode>;
   readonly version: number;
 }
 
-/** Nodes with the decisions of the product, in virtual time, with servers, links, a store and callers. */
+/** Runs the product's node driver in virtual time, with simulated servers, links, store and callers. */
 export class VirtualMesh {
   public readonly queue = new EventQueue();
   public readonly links: VirtualLinks;
@@ -68,123 +67,124 @@
   public readonly requests: VirtualRequest[] = [];
   public version = 0;
   private entries = new Map<string, MeshNode>();
-  /** The version that the store holds; older than the operator's after a return from a copy. */
+  /** The version in the store; older than `version` after a restore from a backup. */
   private storedVersion = 0;
   private era = 1;
-  private readonly copies: StoreCopy[] = [];
-  private boots = 0;
-  private readonly versions = new Map<LinkedNode, number>();
-  /** Versions that an older one followed. */
-  public readonly steppedBack: string[] = [];
+  private readonly snapshots: StoreSnapshot[] = [];
+  private lastBoot = 0;
+  private readonly lastVersions = new Map<LinkedNode, number>();
+  /** Descriptions of cases in which a node's configuration version decreased. */
+  public readonly versionRegressions: string[] = [];
 
   public constructor(
     size: number,
     private readonly random: SeededRandomSource,
     private readonly zones = 2,
   ) {
-    this.links = new VirtualLinks(this.queue, (name) => this.machine(name)?.node);
+    this.links = new VirtualLinks(this.queue, (name) => this.findMachine(name)?.node);
     for (let index = 0; index < size; index += 1) this.addMachine(index);
     this.configure();
     for (const machine of this.machines) this.start(machine);
   }
 
-  /** Writes the next configuration; nodes that read the store get it after some time. */
+  /** Writes the next configuration version; nodes that watch the store read it after a delay. */
   public configure(): void {
     this.version += 1;
     this.writeConfiguration();
   }
 
-  /** The store comes back from a copy; the operator finds out later and writes the newest version again. */
+  /** Restores the store from a backup. The operator notices later and writes the newest version again. */
   public restoreStore(millisecondsAgo: number): void {
-    const isOldEnough = ({ since }: StoreCopy): boolean =>
+    const isOldEnough = ({ since }: StoreSnapshot): boolean =>
       since <= this.queue.now - millisecondsAgo;
-    const copy = this.copies.findLast(isOldEnough) ?? this.copies[0];
-    if (copy === undefined) return;
+    const snapshot = this.snapshots.findLast(isOldEnough) ?? this.snapshots[0];
+    if (snapshot === undefined) return;
     this.era += 1;
-    this.entries = new Map(copy.entries);
-    this.storedVersion = copy.version;
-    for (const machine of this.machines) if (machine.watches) this.readStore(machine);
-    this.queue.after(operatorNoticeMilliseconds * this.random.next(), () => {
+    this.entries = new Map(snapshot.entries);
+    this.storedVersion = snapshot.version;
+    for (const machine of this.machines)
+      if (machine.isWatchingConfiguration) this.scheduleStoreRead(machine);
+    this.queue.after(maximumOperatorReactionMilliseconds * this.random.next(), () => {
       this.writeConfiguration();
     });
   }
 
-  /** Nodes that reach the store and whose entries are not in it. */
+  /** Nodes that reach the store but have no entry in it. */
   public get missingEntries(): readonly string[] {
-    const reaching = this.machines.filter(({ storeIsLost }) => !storeIsLost);
-    return reaching.map(({ name }) => name).filter((name) => !this.entries.has(name));
+    const reachingMachines = this.machines.filter(({ hasLostStore }) => !hasLostStore);
+    return reachingMachines.map(({ name }) => name).filter((name) => !this.entries.has(name));
   }
 
-  /** Nodes that nobody can find: the store lost their entries, and they don't reach it to write them again. */
-  public get lostNodes(): ReadonlySet<string> {
-    const lost = this.machines.filter(
-      ({ name, storeIsLost }) => storeIsLost && !this.entries.has(name),
+  /** Nodes that no other node can discover: the store lost their entries, and they cannot reach it to write new ones. */
+  public get undiscoverableNodes(): ReadonlySet<string> {
+    const undiscoverable = this.machines.filter(
+      ({ name, hasLostStore }) => hasLostStore && !this.entries.has(name),
     );
-    return new Set(lost.map(({ name }) => name));
+    return new Set(undiscoverable.map(({ name }) => name));
   }
 
   private writeConfiguration(): void {
     this.storedVersion = this.version;
-    this.keepCopy();
+    this.saveSnapshot();
     for (const machine of this.machines) {
-      if (machine.watches) this.readStore(machine);
+      if (machine.isWatchingConfiguration) this.scheduleStoreRead(machine);
     }
   }
 
-  private keepCopy(): void {
+  private saveSnapshot(): void {
     const { entries, storedVersion: version } = this;
-    this.copies.push({ entries: new Map(entries), since: this.queue.now, version });
+    this.snapshots.push({ entries: new Map(entries), since: this.queue.now, version });
   }
 
   public start(machine: Machine): void {
     if (machine.node !== undefined) return;
-    this.boots += 1;
+    this.lastBoot += 1;
     const { availabilityZone, name } = machine;
     const self: MeshNode = {
       address: `${name}:1`,
       availabilityZone,
-      boot: this.boots,
+      boot: this.lastBoot,
       name,
       region: 'region',
       service: 'shop',
     };
     const node = this.createNode(machine, self);
     machine.node = node;
-    machine.watches = false;
+    machine.isWatchingConfiguration = false;
     machine.era = undefined;
-    this.queue.after(startMilliseconds * this.random.next(), () => {
+    this.queue.after(maximumStartDelayMilliseconds * this.random.next(), () => {
       if (machine.node === node) node.driver.start();
     });
-    this.readStore(machine);
-    if (machine.storeIsLost) this.noticeLostStore(machine);
+    this.scheduleStoreRead(machine);
+    if (machine.hasLostStore) this.scheduleStoreLossDetection(machine);
   }
 
-  /** From now on a machine does not reach the store, and its node notices after some time. */
+  /** Makes the store unreachable for a machine permanently; its node detects this after a delay. */
   public loseStore(machine: Machine): void {
-    machine.storeIsLost = true;
-    this.noticeLostStore(machine);
+    machine.hasLostStore = true;
+    this.scheduleStoreLossDetection(machine);
   }
 
-  /** Ends the process of a node without a word. */
+  /** Ends the process of a node without notice. */
   public kill(machine: Machine): void {
     const { node } = machine;
     if (node === undefined) return;
     node.driver.close();
     machine.node = undefined;
-    this.links.ended(node);
+    this.links.onProcessEnded(node);
   }
 
   public stop(machine: Machine): void {
     machine.node?.driver.stop();
   }
 
-  /** Sends one request to a machine's node, if it takes requests. */
-  public call(machine: Machine): VirtualRequest | undefined {
+  /** Sends one request to a machine's node if it accepts requests. */
+  public sendRequest(machine: Machine): VirtualRequest | undefined {
     const { node } = machine;
     const isIdempotent = this.random.next() < 0.5;
     const route = node?.driver.routing?.table.match('shop', isIdempotent ? '/safe/' : '/unsafe/');
     if (node === undefined || route === undefined) return undefined;
-    this.noteVersion(node);
+    this.recordVersion(node);
     const now = this.queue.now;
     const requestNumber = this.requests.length + 1;
     const request: VirtualRequest = {
@@ -197,7 +197,7 @@
       sentAt: now,
     };
     this.requests.push(request);
-    node.driver.callerRequest({
+    node.driver.onCallerRequest({
       body: undefined,
       callerDeadline: now + timeoutMilliseconds,
       headers: [],
@@ -218,33 +218,33 @@
     return machine;
   }
 
-  /** Whether a node has lived since the request was sent, so that the caller must have its outcome. */
-  public livesStill({ entry }: VirtualRequest): boolean {
-    return this.machine(entry.self.name)?.node === entry;
+  /** Whether the request's entry is still the same incarnation, so that the caller must get an outcome. */
+  public isEntryAlive({ entry }: VirtualRequest): boolean {
+    return this.findMachine(entry.self.name)?.node === entry;
   }
 
-  private noticeLostStore(machine: Machine): void {
-    this.queue.after(noticeMilliseconds * this.random.next(), () => {
-      machine.node?.driver.storeReached(false);
+  private scheduleStoreLossDetection(machine: Machine): void {
+    this.queue.after(maximumStoreLossDetectionMilliseconds * this.random.next(), () => {
+      machine.node?.driver.onStoreReachabilityChanged(false);
     });
   }
 
-  private noteVersion(node: LinkedNode): void {
-    const version = node.driver.figures.configuration_version;
-    const last = this.versions.get(node) ?? 0;
-    if (version < last) this.steppedBack.push(`${node.self.name}: ${version} after ${last}`);
-    this.versions.set(node, version);
+  private recordVersion(node: LinkedNode): void {
+    const version = node.driver.gaugeValues.configuration_version;
+    const last = this.lastVersions.get(node) ?? 0;
+    if (version < last) this.versionRegressions.push(`${node.self.name}: ${version} after ${last}`);
+    this.lastVersions.set(node, version);
   }
 
   private abandonLater(node: LinkedNode, request: VirtualRequest, requestNumber: number): void {
     this.queue.after(100 * this.random.next(), () => {
       if (request.outcomes.length > 0) return;
       request.isAbandoned = true;
-      node.driver.callerGone(requestNumber);
+      node.driver.onCallerDisconnected(requestNumber);
     });
   }
 
-  private machine(name: string): Machine | undefined {
+  private findMachine(name: string): Machine | undefined {
     return this.machines.find((machine) => machine.name === name);
   }
 
@@ -255,26 +255,26 @@
       era: undefined,
       name,
       node: undefined,
-      readsStore: true,
-      storeIsLost: false,
-      watches: false,
+      canReadStore: true,
+      hasLostStore: false,
+      isWatchingConfiguration: false,
       server: new VirtualServer({
-        concluded: (executionId, result) => {
-          // An execution belongs to the life of the node that asked for it.
-          const [boot, own] = splitExecution(executionId);
+        onConcluded: (executionId, result) => {
+          // An execution belongs to the incarnation of the node that requested it.
+          const [boot, ownExecutionId] = decodeExecutionId(executionId);
           const { node } = machine;
-          if (node?.self.boot === boot) node.driver.executionConcluded(own, result);
+          if (node?.self.boot === boot) node.driver.onExecutionConcluded(ownExecutionId, result);
         },
-        loadTold: (load) => {
-          machine.node?.driver.serverLoad(load);
+        onLoad: (load) => {
+          machine.node?.driver.onServerLoad(load);
         },
         name,
         queue: this.queue,
         random: this.random,
         slots,
-        tell: async (message) => {
+        sendMessage: async (message) => {
           const { node } = machine;
-          await node?.driver.serverMessage(message);
+          await node?.driver.onServerMessage(message);
           return node !== undefined && machine.node === node;
         },
       }),
@@ -287,7 +287,7 @@
     const driver: MeshNodeDriver = new MeshNodeDriver({
       clock,
       decodeConfiguration: (content) => ({
-        configuration: configurationOf(Number(Buffer.from(content).toString())),
+        configuration: createMeshConfiguration(Number(Buffer.from(content).toString())),
         kind: 'configuration',
       }),
       defer: (action) => {
@@ -303,7 +303,7 @@
       random: this.random,
       schedule: (action, milliseconds) => this.queue.after(milliseconds, action),
       self,
-      settings: settingsOf(self),
+      settings: createSettings(self),
     });
     const node: LinkedNode = { driver, self };
     const ports = this.createPorts(machine, node);
@@ -320,7 +320,7 @@
         refuse: () => undefined,
         respond: ({ requestNumber }, outcome) => {
           const request = this.requests[requestNumber - 1];
-          if (request === undefined) throw new Error('an answer without a request');
+          if (request === undefined) throw new Error('outcome for an unknown request');
           request.outcomes.push(outcome);
           request.concludedAt = this.queue.now;
         },
@@ -335,89 +335,92 @@
         },
         send: (name, frame) => this.links.send(node, name, frame),
         tick: () => undefined,
-        whenRead: () => this.links.whenRead(node),
+        whenRead: () => this.links.whenAcknowledged(node),
       },
       server: {
         abort: (executionId) => {
-          server.abort(joinExecution(boot, executionId));
+          server.abort(encodeExecutionId(boot, executionId));
         },
         health: () => Promise.resolve(server.health()),
         run: (execution) => {
-          server.run({ ...execution, executionId: joinExecution(boot, execution.executionId) });
+          server.run({ ...execution, executionId: encodeExecutionId(boot, execution.executionId) });
         },
       },
       store: {
-        eraTold: (era) => {
-          if (era > (machine.era ?? 0)) this.readStore(machine);
+        observeEra: (era) => {
+          if (era > (machine.era ?? 0)) this.scheduleStoreRead(machine);
         },
         refreshDirectory: () => {
-          this.readStore(machine);
+          this.scheduleStoreRead(machine);
         },
         removeEntry: ({ boot: endedBoot, name }) => {
           if (this.entries.get(name)?.boot !== endedBoot) return;
           this.entries.delete(name);
-          this.keepCopy();
+          this.saveSnapshot();
         },
         watchConfiguration: (isWatching) => {
-          machine.watches = isWatching;
-          if (isWatching) this.readStore(machine);
+          machine.isWatchingConfiguration = isWatching;
+          if (isWatching) this.scheduleStoreRead(machine);
         },
       },
-      stopped: () => {
+      onStopped: () => {
         this.kill(machine);
         this.start(machine);
       },
     };
   }
 
-  private tellEra(machine: Machine, node: LinkedNode): void {
+  private reportEra(machine: Machine, node: LinkedNode): void {
     if (machine.era === this.era) return;
     const isRestored = machine.era !== undefined;
     machine.era = this.era;
-    node.driver.storeEraSeen(this.era, isRestored);
+    node.driver.onStoreEraObserved(this.era, isRestored);
   }
 
-  /** The store tells a node of the configuration and of the other nodes, and others of this one. */
-  private readStore(machine: Machine): void {
+  /**
+   * After a delay, the node reads the configuration and the directory from the store, and other nodes observe its
+   * directory entry.
+   */
+  private scheduleStoreRead(machine: Machine): void {
     this.queue.after(10 + 290 * this.random.next(), () => {
       const { node } = machine;
-      if (node === undefined || machine.storeIsLost) return;
-      if (!machine.readsStore) {
-        // The node goes on asking.
-        this.readStore(machine);
+      if (node === undefined || machine.hasLostStore) return;
+      if (!machine.canReadStore) {
+        // The node retries until it can read the store.
+        this.scheduleStoreRead(machine);
         return;
       }
-      this.tellEra(machine, node);
+      this.reportEra(machine, node);
       if (!this.entries.has(machine.name)) {
         this.entries.set(machine.name, node.self);
-        this.keepCopy();
+        this.saveSnapshot();
       }
       this.entries.set(machine.name, node.self);
-      for (const entry of this.entries.values()) node.driver.nodeMentioned(entry);
+      for (const entry of this.entries.values()) node.driver.onNodeObserved(entry);
       for (const other of this.machines) {
-        if (other.readsStore && !other.storeIsLost) other.node?.driver.nodeMentioned(node.self);
+        if (other.canReadStore && !other.hasLostStore) other.node?.driver.onNodeObserved(node.self);
       }
-      node.driver.directoryRead();
-      const isOld = this.random.next() < oldReadShare;
-      const version = Math.max(1, isOld ? this.storedVersion - 1 : this.storedVersion);
-      node.driver.configurationRead(Buffer.from(String(version)));
-      if (isOld) this.readStore(machine);
+      node.driver.onDirectoryRead();
+      const isStale = this.random.next() < staleReadShare;
+      const version = Math.max(1, isStale ? this.storedVersion - 1 : this.storedVersion);
+      node.driver.onConfigurationRead(Buffer.from(String(version)));
+      if (isStale) this.scheduleStoreRead(machine);
     });
   }
 }
 
-/** Numbers of executions are unique in the life of a node only. */
+/** Execution identifiers are unique only within one incarnation of a node, so the boot number is added to them. */
 const executionsPerBoot = 1_000_000;
 
-function joinExecution(boot: number, executionId: number): number {
+function encodeExecutionId(boot: number, executionId: number): number {
   return boot * executionsPerBoot + executionId;
 }
 
-function splitExecution(joined: number): readonly [number, number] {
-  return [Math.floor(joined / executionsPerBoot), joined % executionsPerBoot];
+function decodeExecutionId(encoded: number): readonly [number, number] {
+  return [Math.floor(encoded / executionsPerBoot), encoded % executionsPerBoot];
 }
 
-function configurationOf(version: number): RouteConfiguration {
+function createMeshConfiguration(version: number): RouteConfiguration {
   const routeOf = (name: string, idempotent: boolean): Route =>
     createRoute({
       host: 'shop',
@@ -434,7 +437,7 @@
   });
 }
 
-function settingsOf({ availabilityZone, name, region, service }: MeshNode): MeshSettings {
+function createSettings({ availabilityZone, name, region, service }: MeshNode): MeshSettings {
   const address = { host: name, port: 1 };
   return {
     answerMemoryBytes: 1_048_576,
@@ -447,7 +450,7 @@
     probesPerSecond: 30,
     readinessAddress: address,
     region,
-    repeats,
+    repeats: retryBudget,
     reportAddress: address,
     serverAddress: address,
     service,
--- a/packages/daemon/tests/virtual-mesh/virtual-server.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-server.ts
@@ -5,11 +5,11 @@
 
 import type { EventQueue } from './event-queue.js';
 
-/** One run of a request at a server. */
+/** One execution of a request at a server. */
 export interface Run {
   readonly requestId: string;
   readonly at: number;
-  /** Identifies one lifetime of a server; an instance identifier may come again. */
+  /** Identifies one lifetime of a server; instance identifiers may be reused. */
   readonly lifetime: string;
 }
 
@@ -18,59 +18,59 @@
   readonly random: RandomSource;
   readonly name: string;
   readonly slots: number;
-  /** Gives a report to the node beside the server; false if the node is down or ends before it confirms. */
-  readonly tell: (message: ServerMessage) => Promise<boolean>;
-  /** The load that comes with each answer. */
-  readonly loadTold: (load: ServerLoad) => void;
-  readonly concluded: (executionId: number, result: ExecutionResult) => void;
+  /** Sends a message to the node beside the server; false if the node is down or ends before it confirms. */
+  readonly sendMessage: (message: ServerMessage) => Promise<boolean>;
+  /** Called with the load that accompanies each answer. */
+  readonly onLoad: (load: ServerLoad) => void;
+  readonly onConcluded: (executionId: number, result: ExecutionResult) => void;
 }
 
-const wayMilliseconds = 0.5;
-const reportMilliseconds = 300;
-/** Share of reports that come a second time, after others. */
-const repeatedReportShare = 0.2;
+const oneWayLatencyMilliseconds = 0.5;
+const reportIntervalMilliseconds = 300;
+/** Share of reports that are delivered a second time, possibly after later ones. */
+const duplicatedReportShare = 0.2;
 const longestReportDelayMilliseconds = 1_500;
 const shortestWorkMilliseconds = 5;
 const longestWorkMilliseconds = 60;
-/** Mean of the squares of random numbers from 0 to 1 is a third. */
+/** The work is skewed by the square of a uniform random number from 0 to 1, whose mean is one third. */
 export const meanWorkMilliseconds =
   shortestWorkMilliseconds + (longestWorkMilliseconds - shortestWorkMilliseconds) / 3;
 
-/** A server beside a node, with lifetimes that end with and without a word. */
+/** A server beside a node. Its lifetimes end either by draining and leaving or without notice. */
 export class VirtualServer {
   public readonly runs: Run[] = [];
-  /** When the end of a lifetime was confirmed: nothing may start there any more. */
-  public readonly confirmedAt = new Map<string, number>();
-  /** Share of answers that are lost with their connection. */
-  public lostShare = 0;
+  /** Time at which the end of each lifetime was confirmed; no request may start in that lifetime afterwards. */
+  public readonly endConfirmedAt = new Map<string, number>();
+  /** Share of answers that are lost because the connection is reset. */
+  public lostAnswerShare = 0;
   public slowdown = 1;
-  private lives = 0;
+  private lifetimeNumber = 0;
   private instanceId = '';
-  private bornAt = 0;
+  private lifetimeStartedAt = 0;
   private sequence = 0;
   private isDraining = false;
   private running = 0;
-  /** Ends runs before their time, by their executions. */
-  private readonly cancels = new Map<number, () => void>();
+  /** Functions that cancel running requests, by execution identifier. */
+  private readonly cancelByExecution = new Map<number, () => void>();
 
   public constructor(private readonly options: VirtualServerOptions) {
-    this.begin('i-1');
-    options.queue.after(reportMilliseconds * options.random.next(), () => {
-      this.reportAgain();
+    this.startLifetime('i-1');
+    options.queue.after(reportIntervalMilliseconds * options.random.next(), () => {
+      this.reportPeriodically();
     });
   }
 
-  /** A lifetime ends without a word, and the next one has the same identifier or a new one. */
+  /** Ends the lifetime without notice; the next one has the same instance identifier or a new one. */
   public restart(keepsIdentifier: boolean): void {
-    this.begin(keepsIdentifier ? this.instanceId : `i-${this.lives + 1}`);
+    this.startLifetime(keepsIdentifier ? this.instanceId : `i-${this.lifetimeNumber + 1}`);
   }
 
-  /** Drains, leaves when nothing runs, and starts again; waits for a confirmation that does not come. */
+  /** Drains, leaves once nothing runs, and starts again. The leave message is repeated until it is confirmed. */
   public replace(keepsIdentifier: boolean): void {
     const { lifetime } = this;
     this.isDraining = true;
     void this.report().then((isConfirmed) => {
-      if (isConfirmed) this.confirmedAt.set(lifetime, this.options.queue.now);
+      if (isConfirmed) this.endConfirmedAt.set(lifetime, this.options.queue.now);
     });
     this.options.queue.after(200, () => {
       void this.leave(lifetime, keepsIdentifier);
@@ -78,11 +78,11 @@
   }
 
   public run({ executionId, frame, instanceId }: Execution): void {
-    const { concluded, queue, random } = this.options;
-    queue.after(wayMilliseconds, () => {
+    const { onConcluded, queue, random } = this.options;
+    queue.after(oneWayLatencyMilliseconds, () => {
       if (instanceId !== this.instanceId || this.running >= this.options.slots) {
         const reason = DeclineReason.ServerRefused;
-        concluded(executionId, { detail: 'not run', kind: 'not-run', reason });
+        onConcluded(executionId, { detail: 'not run', kind: 'not-run', reason });
         return;
       }
       const { lifetime } = this;
@@ -91,33 +91,33 @@
       const spread = longestWorkMilliseconds - shortestWorkMilliseconds;
       const work = (shortestWorkMilliseconds + spread * random.next() ** 2) * this.slowdown;
       const cancel = queue.after(work, () => {
-        this.cancels.delete(executionId);
+        this.cancelByExecution.delete(executionId);
         if (lifetime !== this.lifetime) {
-          concluded(executionId, { detail: 'the server ended', kind: 'failed' });
+          onConcluded(executionId, { detail: 'the server ended', kind: 'failed' });
           return;
         }
         this.running -= 1;
-        if (random.next() < this.lostShare) {
-          concluded(executionId, { detail: 'reset', kind: 'failed' });
+        if (random.next() < this.lostAnswerShare) {
+          onConcluded(executionId, { detail: 'reset', kind: 'failed' });
           return;
         }
         const body = Buffer.from(frame.requestId);
-        this.options.loadTold(this.load);
-        concluded(executionId, { body, headers: [], kind: 'answered', status: 200 });
+        this.options.onLoad(this.load);
+        onConcluded(executionId, { body, headers: [], kind: 'answered', status: 200 });
       });
-      this.cancels.set(executionId, () => {
+      this.cancelByExecution.set(executionId, () => {
         cancel();
         if (lifetime === this.lifetime) this.running -= 1;
       });
     });
   }
 
-  /** The connection of a run is closed, and the server ends its work. */
+  /** The connection of a running request is closed, and the server stops working on it. */
   public abort(executionId: number): void {
-    this.cancels.get(executionId)?.();
-    this.cancels.delete(executionId);
+    this.cancelByExecution.get(executionId)?.();
+    this.cancelByExecution.delete(executionId);
     this.options.queue.after(0, () => {
-      this.options.concluded(executionId, { detail: 'aborted', kind: 'failed' });
+      this.options.onConcluded(executionId, { detail: 'aborted', kind: 'failed' });
     });
   }
 
@@ -135,14 +135,14 @@
   }
 
   private get lifetime(): string {
-    return `${this.options.name}/${this.lives}`;
+    return `${this.options.name}/${this.lifetimeNumber}`;
   }
 
   private async leave(lifetime: string, keepsIdentifier: boolean): Promise<void> {
     if (lifetime !== this.lifetime) return;
     const { instanceId } = this;
     const isConfirmed =
-      (await this.report()) && (await this.options.tell({ instanceId, kind: 'leave' }));
+      (await this.report()) && (await this.options.sendMessage({ instanceId, kind: 'leave' }));
     if (lifetime !== this.lifetime) return;
     if (isConfirmed && this.running === 0) {
       this.restart(keepsIdentifier);
@@ -153,11 +153,11 @@
     });
   }
 
-  private begin(instanceId: string): void {
-    this.lives += 1;
+  private startLifetime(instanceId: string): void {
+    this.lifetimeNumber += 1;
     this.instanceId = instanceId;
-    // A whole number, as nodes expect it; lifetimes that begin within a millisecond differ.
-    this.bornAt = Math.ceil(this.options.queue.now) + this.lives;
+    // Nodes expect an integer. The addend makes lifetimes differ that begin within the same millisecond.
+    this.lifetimeStartedAt = Math.ceil(this.options.queue.now) + this.lifetimeNumber;
     this.sequence = 0;
     this.isDraining = false;
     this.running = 0;
@@ -166,10 +166,10 @@
     });
   }
 
-  private reportAgain(): void {
+  private reportPeriodically(): void {
     void this.report();
-    this.options.queue.after(reportMilliseconds, () => {
-      this.reportAgain();
+    this.options.queue.after(reportIntervalMilliseconds, () => {
+      this.reportPeriodically();
     });
   }
 
@@ -183,16 +183,16 @@
         instanceId: this.instanceId,
         sequence: this.sequence,
         slots: this.options.slots,
-        startedAt: this.bornAt,
+        startedAt: this.lifetimeStartedAt,
       },
     };
-    const { queue, random, tell } = this.options;
-    if (random.next() < repeatedReportShare) {
-      // A late copy may reach a later life of the node's process.
+    const { queue, random, sendMessage } = this.options;
+    if (random.next() < duplicatedReportShare) {
+      // A late duplicate may reach a later incarnation of the node.
       queue.after(longestReportDelayMilliseconds * random.next(), () => {
-        void tell(message);
+        void sendMessage(message);
       });
     }
-    return tell(message);
+    return sendMessage(message);
   }
 }
