--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -26,7 +26,7 @@
   ServerLoad,
 } from '@peridotspring/mesh-core';
 import type { MeshHelloPayload, MeshHelloFrame, MeshConnections } from '@peridotspring/nodes';
-import type { HealthAnswer, ServerMessage } from '@peridotspring/upstreams/mesh';
+import type { HealthCheckResult, ServerMessage } from '@peridotspring/upstreams/mesh';
 
 import { ConfigurationSynchronizer } from './configuration-synchronizer.js';
 import type { ConfigurationPorts } from './configuration-synchronizer.js';
@@ -75,7 +75,7 @@
   readonly server: {
     run(execution: Execution): void;
     abort(executionId: number): void;
-    health(path: string): Promise<HealthAnswer | undefined>;
+    health(path: string): Promise<HealthCheckResult | undefined>;
   };
   readonly store: ConfigurationPorts['store'] & DirectoryStore;
   /** Called when the process may exit. `isPermanent` is true if the server has left too, so its entry is removed. */
@@ -582,7 +582,7 @@
     this.gate.onProbeFinished(now);
   }
 
-  private onHealthAnswer(answer: HealthAnswer | undefined): void {
+  private onHealthAnswer(answer: HealthCheckResult | undefined): void {
     this.log(MeshEvent.HealthChecked, {
       instance: answer?.instanceId ?? 'unknown',
       ready: answer?.isReady ?? false,
--- a/packages/daemon/src/mesh/mesh-wiring.ts
+++ b/packages/daemon/src/mesh/mesh-wiring.ts
@@ -82,7 +82,7 @@
     server,
     store: {
       observeEra: (era) => {
-        store.session.eraTold(era);
+        store.session.handleReportedEra(era);
       },
       refreshDirectory: () => {
         void store.session.refreshDirectory();
@@ -93,7 +93,7 @@
         void store.session.removeEntry(node.name, isExpected);
       },
       watchConfiguration: (isWatching) => {
-        store.session.watchConfiguration(isWatching);
+        store.session.setConfigurationWatching(isWatching);
       },
     },
     onStopped: (isPermanent) => {
@@ -114,7 +114,7 @@
     bindHost: host,
     bindPort: port,
     codec: adapter.serverMessages,
-    deliver: (message) => driver.onServerMessage(message),
+    onMessage: (message) => driver.onServerMessage(message),
   });
   const readiness = new ReadinessServer(
     settings.readinessAddress.host,
@@ -260,17 +260,17 @@
   clock: () => number,
 ): ServerClient {
   return new ServerClient({
-    answerMemoryBytes: settings.answerMemoryBytes,
+    responseMemoryBytes: settings.answerMemoryBytes,
     clock,
     codec: adapter.serverHeaders,
-    concluded: (executionId, result) => {
+    onResult: (executionId, result) => {
       driver.onExecutionConcluded(executionId, result);
     },
     host: settings.serverAddress.host,
-    load: (load) => {
+    onLoadReport: (load) => {
       driver.onServerLoad(load);
     },
-    otherInstance: (instanceId) => {
+    onUnexpectedInstance: (instanceId) => {
       driver.onUnexpectedInstance(instanceId);
     },
     port: settings.serverAddress.port,
@@ -300,7 +300,7 @@
     codec: adapter.storeCalls,
     contentType: adapter.storeContentType,
     host: settings.storeAddress.host,
-    observed: (call, outcome, milliseconds) => {
+    onCallCompleted: (call, outcome, milliseconds) => {
       if (outcome !== 'ok' || milliseconds > slowStoreCallMilliseconds) {
         events.record(MeshEvent.StoreCalled, {
           call,
@@ -314,25 +314,25 @@
   const session = new StoreSession({
     clock,
     codec: adapter.storeCalls,
-    configurationRead: (content) => {
+    onConfigurationRead: (content) => {
       driver.onConfigurationRead(content);
     },
     directoryPrefix,
-    directoryRead: () => {
+    onDirectoryRead: () => {
       driver.onDirectoryRead();
     },
     entry: encodeDirectoryEntry(self),
     isEntryCurrent: (stored) => isSameEntry(decodeDirectoryEntry(stored), self),
-    eraSeen: (era, isRestored) => {
+    onEraObserved: (era, isRestored) => {
       driver.onStoreEraObserved(era, isRestored);
     },
-    entryRead: ({ value }) => {
+    onEntryRead: ({ value }) => {
       const node = decodeDirectoryEntry(value);
       if (node !== undefined) driver.onNodeObserved(node);
     },
     nodeName: self.name,
     random,
-    reachabilityChanged: (isReachable, detail) => {
+    onReachabilityChange: (isReachable, detail) => {
       const event = isReachable ? MeshEvent.StoreReachable : MeshEvent.StoreUnreachable;
       events.record(event, { detail });
       driver.onStoreReachabilityChanged(isReachable);
--- a/packages/daemon/src/operators/core-node-view.ts
+++ b/packages/daemon/src/operators/core-node-view.ts
@@ -107,9 +107,9 @@
     return {
       calls: reads + writes + watches,
       failedCalls: unanswered,
-      lastAnswerAt: store.lastAnswerAt,
+      lastAnswerAt: store.lastResponseAt,
       latencyMilliseconds: store.latencyMilliseconds,
-      reachable: store.reachable,
+      reachable: store.isResponding,
       watching: core.parts.membership.isBridge,
     };
   }
--- a/packages/daemon/src/operators/gauges.ts
+++ b/packages/daemon/src/operators/gauges.ts
@@ -69,7 +69,7 @@
     {
       help: '1 while the last call of the platform was answered.',
       name: 'platform_reachable',
-      read: () => (store.reachable ? 1 : 0),
+      read: () => (store.isResponding ? 1 : 0),
     },
     {
       help: 'Calls of the platform since the start, waiting watches included.',
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -67,7 +67,7 @@
     seed: (identity.incarnation ^ process.pid) >>> 0,
   });
   const store = new PlatformStore({
-    reachabilityChanged: (isReachable) => {
+    onReachabilityChange: (isReachable) => {
       if (isReachable) log.info(LogEvent.PlatformAnswersAgain);
       else log.warn(LogEvent.PlatformUnreachable);
     },
@@ -260,7 +260,7 @@
     sendFrame: (server, frame) => {
       connections.send(server, core.parts.membership.member(server)?.peerAddress ?? '', frame);
     },
-    upstreamAnswer: (executionId) => upstream.answerBody(executionId),
+    upstreamAnswer: (executionId) => upstream.responseBody(executionId),
   });
   const driver: NodeDriver = new NodeDriver({
     callers,
--- a/packages/daemon/tests/virtual-mesh/virtual-server.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-server.ts
@@ -1,7 +1,7 @@
 import { DeclineReason } from '@peridotspring/mesh-core';
 import type { Execution, ExecutionResult, ServerLoad } from '@peridotspring/mesh-core';
 import type { RandomSource } from '@peridotspring/core';
-import type { HealthAnswer, ServerMessage } from '@peridotspring/upstreams/mesh';
+import type { HealthCheckResult, ServerMessage } from '@peridotspring/upstreams/mesh';
 
 import type { EventQueue } from './event-queue.js';
 
@@ -121,7 +121,7 @@
     });
   }
 
-  public health(): HealthAnswer {
+  public health(): HealthCheckResult {
     return { instanceId: this.instanceId, isReady: !this.isDraining, load: this.load };
   }
 
--- a/packages/platform/src/gateway-client.ts
+++ b/packages/platform/src/gateway-client.ts
@@ -1,19 +1,20 @@
 import { Agent, request, type ClientRequest, type IncomingMessage } from 'node:http';
 
-/** A value of 1 MB in base64 with the reply around it; a longer reply is no reply of the store. */
-const maximumReplyBytes = 2_000_000;
+/** Fits a value of 1 MB in base64 with the surrounding JSON; a longer response is invalid. */
+const maximumResponseBytes = 2_000_000;
 
-/** What a watch stream tells its reader. */
-export interface StreamReader {
-  readonly line: (value: unknown) => void;
-  /** The stream ended, was cut or could not be opened; called once. */
-  readonly ended: () => void;
+/** Handlers of a stream of JSON lines. */
+export interface StreamHandlers {
+  /** Called with each parsed line, or `undefined` if it is not JSON. */
+  readonly onLine: (value: unknown) => void;
+  /** Called once when the stream has ended, was aborted or could not be opened. */
+  readonly onEnded: () => void;
 }
 
-/** Sends JSON to the gateway over kept-alive connections. */
+/** Sends JSON requests to the gateway over keep-alive connections. */
 export class GatewayClient {
   private readonly agent: Agent;
-  private readonly open = new Set<ClientRequest>();
+  private readonly openRequests = new Set<ClientRequest>();
 
   public constructor(
     private readonly baseUrl: URL,
@@ -23,55 +24,55 @@
     this.agent = new Agent({ keepAlive: true, maxSockets: maximumConnections });
   }
 
-  /** Delivers the parsed reply once, or undefined when none came in time. */
-  public call(path: string, body: unknown, deliver: (reply: unknown) => void): void {
-    let isDelivered = false;
-    const conclude = (reply: unknown): void => {
-      if (isDelivered) return;
-      isDelivered = true;
+  /** Calls `onResponseBody` once with the parsed body, or with `undefined` without a valid response in time. */
+  public call(path: string, body: unknown, onResponseBody: (responseBody: unknown) => void): void {
+    let isSettled = false;
+    const settle = (responseBody: unknown): void => {
+      if (isSettled) return;
+      isSettled = true;
       clearTimeout(timer);
-      deliver(reply);
+      onResponseBody(responseBody);
     };
-    const sent = this.post(path, body, this.agent, (response) => {
-      this.collect(response, sent, conclude);
+    const clientRequest = this.post(path, body, this.agent, (response) => {
+      this.collectResponse(response, clientRequest, settle);
     });
-    // The timeout covers the whole call, waiting for a connection included.
-    const timer = setTimeout(() => sent.destroy(), this.timeoutMilliseconds);
-    sent.on('close', () => {
-      conclude(undefined);
+    // The timeout covers the whole call, including the wait for a connection.
+    const timer = setTimeout(() => clientRequest.destroy(), this.timeoutMilliseconds);
+    clientRequest.on('close', () => {
+      settle(undefined);
     });
   }
 
-  /** Opens a stream of JSON lines on a connection of its own; the returned function ends it. */
-  public stream(path: string, body: unknown, reader: StreamReader): () => void {
-    let text = '';
-    const sent = this.post(path, body, false, (response) => {
+  /** Opens a stream of JSON lines on a dedicated connection; the returned function closes it. */
+  public stream(path: string, body: unknown, handlers: StreamHandlers): () => void {
+    let unparsedText = '';
+    const clientRequest = this.post(path, body, false, (response) => {
       clearTimeout(timer);
-      if (response.statusCode !== 200) sent.destroy();
+      if (response.statusCode !== 200) clientRequest.destroy();
       response.setEncoding('utf8');
       response.on('data', (chunk: string) => {
-        text += chunk;
-        const lines = text.split('\n');
-        text = lines.pop() ?? '';
-        if (text.length > maximumReplyBytes) sent.destroy();
+        unparsedText += chunk;
+        const lines = unparsedText.split('\n');
+        unparsedText = lines.pop() ?? '';
+        if (unparsedText.length > maximumResponseBytes) clientRequest.destroy();
         for (const line of lines) {
-          reader.line(parseJson(line));
+          handlers.onLine(parseJson(line));
         }
       });
       response.on('error', () => undefined);
     });
-    const timer = setTimeout(() => sent.destroy(), this.timeoutMilliseconds);
-    sent.on('close', () => {
+    const timer = setTimeout(() => clientRequest.destroy(), this.timeoutMilliseconds);
+    clientRequest.on('close', () => {
       clearTimeout(timer);
-      reader.ended();
+      handlers.onEnded();
     });
-    return () => sent.destroy();
+    return () => clientRequest.destroy();
   }
 
-  /** Ends every open call and stream. */
+  /** Aborts every open call and stream. */
   public close(): void {
-    for (const sent of this.open) {
-      sent.destroy();
+    for (const clientRequest of this.openRequests) {
+      clientRequest.destroy();
     }
     this.agent.destroy();
   }
@@ -80,37 +81,41 @@
     path: string,
     body: unknown,
     agent: Agent | false,
-    respond: (response: IncomingMessage) => void,
+    onResponse: (response: IncomingMessage) => void,
   ): ClientRequest {
     const text = JSON.stringify(body);
     const headers = {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(text),
     };
-    const sent = request(new URL(path, this.baseUrl), { method: 'POST', agent, headers }, respond);
-    this.open.add(sent);
-    sent.on('error', () => undefined);
-    sent.on('close', () => this.open.delete(sent));
-    sent.end(text);
-    return sent;
+    const clientRequest = request(
+      new URL(path, this.baseUrl),
+      { method: 'POST', agent, headers },
+      onResponse,
+    );
+    this.openRequests.add(clientRequest);
+    clientRequest.on('error', () => undefined);
+    clientRequest.on('close', () => this.openRequests.delete(clientRequest));
+    clientRequest.end(text);
+    return clientRequest;
   }
 
-  private collect(
+  private collectResponse(
     response: IncomingMessage,
-    sent: ClientRequest,
-    conclude: (reply: unknown) => void,
+    clientRequest: ClientRequest,
+    settle: (responseBody: unknown) => void,
   ): void {
     const chunks: Buffer[] = [];
     let length = 0;
     response.on('data', (chunk: Buffer) => {
       length += chunk.length;
       chunks.push(chunk);
-      if (length > maximumReplyBytes) sent.destroy();
+      if (length > maximumResponseBytes) clientRequest.destroy();
     });
     response.on('error', () => undefined);
     response.on('end', () => {
-      const isWhole = response.complete && response.statusCode === 200;
-      conclude(isWhole ? parseJson(Buffer.concat(chunks).toString('utf8')) : undefined);
+      const isComplete = response.complete && response.statusCode === 200;
+      settle(isComplete ? parseJson(Buffer.concat(chunks).toString('utf8')) : undefined);
     });
   }
 }
--- a/packages/platform/src/key-values/configuration-reading.ts
+++ b/packages/platform/src/key-values/configuration-reading.ts
@@ -1,136 +1,141 @@
 import type { ItemPage, StoreCallCodec } from './key-value-store.js';
-import type { Pauses } from './pauses.js';
-import type { AccessOutcome, StoreAccess } from './store-access.js';
+import type { CancellableDelays } from './cancellable-delays.js';
+import type { StoreClientOutcome, StoreClient } from './store-client.js';
 
-/** Time that a watch waits for a change; the store holds one for 30 s at most, and each costs a call. */
-const watchMilliseconds = 29_000;
-/** Pause after a watch that brought changes, so that a series of changes costs few calls. */
+/** Long-poll duration of a watch. The store holds one for at most 30 s, and each is billed as a call. */
+const watchWaitMilliseconds = 29_000;
+/** Delay after a watch that returned changes, so that a burst of changes costs few calls. */
 const watchPauseMilliseconds = 150;
 
-/** How new the next read has to be. */
-const ReadNeed = {
-  /** Its answer may be seconds old. */
-  Old: 'old',
-  Exact: 'exact',
-  /** Exact, after a read that may be old has shown that the store answers. */
-  ExactOnceReached: 'exact-once-reached',
+/** Consistency that the next read requires. */
+const ReadConsistency = {
+  /** The result may be seconds old. */
+  StaleAllowed: 'old',
+  UpToDate: 'exact',
+  /** Up to date, but only after a stale read has shown that the store responds. */
+  UpToDateOnceReachable: 'exact-once-reached',
 } as const;
-type ReadNeed = (typeof ReadNeed)[keyof typeof ReadNeed];
+type ReadConsistency = (typeof ReadConsistency)[keyof typeof ReadConsistency];
 
-export interface ConfigurationReadingOptions {
-  readonly access: StoreAccess;
+export interface ConfigurationReaderOptions {
+  readonly storeClient: StoreClient;
   readonly codec: StoreCallCodec;
-  readonly pauses: Pauses;
-  readonly read: (content: Uint8Array) => void;
+  readonly delays: CancellableDelays;
+  readonly onRead: (content: Uint8Array) => void;
 }
 
-/** Reads the configuration once, and watches it while it is told to. */
-export class ConfigurationReading {
+/** Reads the configuration once at start, and watches it for changes while this is enabled. */
+export class ConfigurationReader {
   private isClosed = false;
   private isWatching = false;
-  /** What was read is from a copy of the store that has been replaced. */
-  private isOutdated = false;
-  /** Ends the wait for the duty to watch. */
-  private wake: (() => void) | undefined;
-  /** Ends the watch that waits, when it may have missed a change. */
-  private watching = new AbortController();
+  /** The last revision belongs to a copy of the store that has been replaced. */
+  private isRevisionOutdated = false;
+  /** Ends the wait in `waitUntilWatching`. */
+  private resumeWatching: (() => void) | undefined;
+  /** Aborts the pending watch when it may have missed a change. */
+  private watchAbort = new AbortController();
 
-  public constructor(private readonly options: ConfigurationReadingOptions) {}
+  public constructor(private readonly options: ConfigurationReaderOptions) {}
 
-  /** Whether this node watches the configuration; the change is in force at once. */
-  public watch(isWatching: boolean): void {
+  /** Starts or stops watching the configuration, with immediate effect. */
+  public setWatching(isWatching: boolean): void {
     this.isWatching = isWatching;
-    if (isWatching) this.wake?.();
-    else this.watching.abort();
+    if (isWatching) this.resumeWatching?.();
+    else this.watchAbort.abort();
   }
 
-  /** A watch that waited through an outage may never be answered. */
+  /** Restarts the pending watch. One that was open during an outage may never be answered. */
   public restartWatch(): void {
-    this.watching.abort();
+    this.watchAbort.abort();
   }
 
-  /** The store came back from an older copy, which gives revisions out again: nothing read before is a start. */
-  public restored(): void {
-    this.isOutdated = true;
-    this.watching.abort();
+  /**
+   * The store was restored from an older copy and assigns revisions a second time, so a watch cannot continue from an
+   * earlier revision.
+   */
+  public handleStoreRestored(): void {
+    this.isRevisionOutdated = true;
+    this.watchAbort.abort();
   }
 
   public close(): void {
     this.isClosed = true;
-    this.watching.abort();
-    this.wake?.();
+    this.watchAbort.abort();
+    this.resumeWatching?.();
   }
 
-  public async follow(): Promise<void> {
-    const { codec, pauses, read } = this.options;
+  public async run(): Promise<void> {
+    const { codec, delays, onRead } = this.options;
     let revision: number | undefined;
     let hasRead = false;
     let failures = 0;
-    // A watch goes on from the revision of an old read and misses nothing, unless the store forgot that history
-    // or came back from an older copy meanwhile.
-    let need: ReadNeed = ReadNeed.Old;
+    // A watch that continues from the revision of a stale read misses no change, unless the store has compacted
+    // that history or was restored from an older copy in the meantime.
+    let consistency: ReadConsistency = ReadConsistency.StaleAllowed;
     while (!this.isClosed) {
       if (hasRead && !this.isWatching) {
-        await this.untilWatching();
-        // Changes since the last answer may be beyond the store's history.
+        await this.waitUntilWatching();
+        // The store may have compacted the changes since the last response.
         revision = undefined;
-        need = ReadNeed.Old;
+        consistency = ReadConsistency.StaleAllowed;
         continue;
       }
-      if (this.isOutdated) {
-        this.isOutdated = false;
+      if (this.isRevisionOutdated) {
+        this.isRevisionOutdated = false;
         revision = undefined;
-        need = ReadNeed.Exact;
+        consistency = ReadConsistency.UpToDate;
       }
       const wasWatch = revision !== undefined;
       const outcome =
-        revision === undefined ? await this.readOnce(need) : await this.watchOnce(revision);
+        revision === undefined ? await this.readOnce(consistency) : await this.watchOnce(revision);
       if (outcome.kind !== 'ok') {
-        const wasInterrupted = wasWatch && this.watching.signal.aborted;
+        const wasInterrupted = wasWatch && this.watchAbort.signal.aborted;
         failures = wasInterrupted ? 0 : failures + 1;
         revision = undefined;
-        need = this.needAfter(outcome.kind);
-        if (!wasInterrupted) await pauses.beforeRetry(failures);
+        consistency = this.consistencyAfter(outcome.kind);
+        if (!wasInterrupted) await delays.backOff(failures);
         continue;
       }
       failures = 0;
       hasRead = true;
       const { items } = outcome.value;
       revision = outcome.value.revision;
-      for (const { key, value } of items) if (key === codec.configurationKey) read(value);
-      if (wasWatch && items.length > 0) await pauses.sleep(watchPauseMilliseconds);
+      for (const { key, value } of items) if (key === codec.configurationKey) onRead(value);
+      if (wasWatch && items.length > 0) await delays.sleep(watchPauseMilliseconds);
     }
   }
 
-  /** While the store may be away, reads that may be old try it, since calls that are refused are billed too. */
-  private async readOnce(need: ReadNeed): Promise<AccessOutcome<ItemPage>> {
-    const { access, codec } = this.options;
-    if (need !== ReadNeed.Exact) {
-      const old = await access.list(codec.configurationKey, true);
-      if (need === ReadNeed.Old || old.kind !== 'ok') return old;
+  /** While the store may be unreachable, it is probed with stale reads, since rejected calls are billed as well. */
+  private async readOnce(consistency: ReadConsistency): Promise<StoreClientOutcome<ItemPage>> {
+    const { storeClient, codec } = this.options;
+    if (consistency !== ReadConsistency.UpToDate) {
+      const staleRead = await storeClient.list(codec.configurationKey, true);
+      if (consistency === ReadConsistency.StaleAllowed || staleRead.kind !== 'ok') return staleRead;
     }
-    return access.list(codec.configurationKey, false);
+    return storeClient.list(codec.configurationKey, false);
   }
 
-  /** After a failure nobody knows what the watch missed, and an old read may be from before the outage. */
-  private needAfter(failure: 'compacted' | 'missing' | 'outdated' | 'unavailable'): ReadNeed {
-    if (failure !== 'unavailable') return ReadNeed.Exact;
-    return this.isWatching ? ReadNeed.ExactOnceReached : ReadNeed.Old;
+  /** After a failure the watch may have missed changes, and a stale read may predate the outage. */
+  private consistencyAfter(
+    failure: 'compacted' | 'missing' | 'outdated' | 'unavailable',
+  ): ReadConsistency {
+    if (failure !== 'unavailable') return ReadConsistency.UpToDate;
+    return this.isWatching ? ReadConsistency.UpToDateOnceReachable : ReadConsistency.StaleAllowed;
   }
 
-  /** If it is not answered, the watch has to start again from a read. */
-  private async watchOnce(revision: number): Promise<AccessOutcome<ItemPage>> {
-    const { access, codec } = this.options;
-    this.watching = new AbortController();
-    const call = codec.watch(codec.configurationKey, revision, watchMilliseconds);
-    return access.call(call, this.watching.signal);
+  /** After a failed watch, the next one has to start from a new read. */
+  private async watchOnce(revision: number): Promise<StoreClientOutcome<ItemPage>> {
+    const { storeClient, codec } = this.options;
+    this.watchAbort = new AbortController();
+    const call = codec.watch(codec.configurationKey, revision, watchWaitMilliseconds);
+    return storeClient.call(call, this.watchAbort.signal);
   }
 
-  private async untilWatching(): Promise<void> {
+  private async waitUntilWatching(): Promise<void> {
     if (this.isClosed) return;
     await new Promise<void>((resolve) => {
-      this.wake = resolve;
+      this.resumeWatching = resolve;
     });
-    this.wake = undefined;
+    this.resumeWatching = undefined;
   }
 }
--- a/packages/platform/src/key-values/http-store-transport.ts
+++ b/packages/platform/src/key-values/http-store-transport.ts
@@ -1,38 +1,46 @@
 import { Agent, request as httpRequest } from 'node:http';
 import type { IncomingMessage } from 'node:http';
 
-import type { StoreAnswer, StoreCall, StoreCallCodec, StoreTransport } from './key-value-store.js';
+import type {
+  StoreResponse,
+  StoreCall,
+  StoreCallCodec,
+  StoreTransport,
+} from './key-value-store.js';
 
-/** A store that is slow by a factor of 80 answers within 350 ms; later answers are given up. */
-const answerTimeoutMilliseconds = 1_500;
-const maximumAnswerBytes = 4_194_304;
-/** Delay of the first probe on an idle connection, so that one that went silent is noticed. */
-const keepAliveMilliseconds = 1_000;
+/** A store that is slowed down by a factor of 80 responds within 350 ms; later responses are not awaited. */
+const responseTimeoutMilliseconds = 1_500;
+const maximumResponseBytes = 4_194_304;
+/** Delay of the first TCP keep-alive probe on an idle connection, which detects dead connections. */
+const keepAliveProbeDelayMilliseconds = 1_000;
 
 export interface HttpStoreTransportOptions {
   readonly host: string;
   readonly port: number;
   readonly contentType: string;
   readonly codec: Pick<StoreCallCodec, 'eraHeader' | 'parseEra'>;
-  /** Called for each call with its name and what became of it. */
-  readonly observed: (call: string, outcome: string, milliseconds: number) => void;
+  /** Called after each call with its name, the kind of its outcome and its duration. */
+  readonly onCallCompleted: (call: string, outcome: string, milliseconds: number) => void;
   readonly clock: () => number;
 }
 
-/** Calls to the store over HTTP. A connection on which a call failed is not used again. */
+/** Sends calls to the store over HTTP. A connection on which a call failed is not reused. */
 export class HttpStoreTransport implements StoreTransport {
-  private readonly agent = new Agent({ keepAlive: true, keepAliveMsecs: keepAliveMilliseconds });
+  private readonly agent = new Agent({
+    keepAlive: true,
+    keepAliveMsecs: keepAliveProbeDelayMilliseconds,
+  });
 
   public constructor(private readonly options: HttpStoreTransportOptions) {}
 
   public async execute<Value>(
     call: StoreCall<Value>,
     signal?: AbortSignal,
-  ): Promise<StoreAnswer<Value>> {
-    const { clock, observed } = this.options;
+  ): Promise<StoreResponse<Value>> {
+    const { clock, onCallCompleted } = this.options;
     const startedAt = clock();
     const outcome = await this.send(call, signal);
-    observed(call.name, outcome.kind, clock() - startedAt);
+    onCallCompleted(call.name, outcome.kind, clock() - startedAt);
     return outcome;
   }
 
@@ -43,22 +51,22 @@
   private send<Value>(
     call: StoreCall<Value>,
     signal: AbortSignal | undefined,
-  ): Promise<StoreAnswer<Value>> {
+  ): Promise<StoreResponse<Value>> {
     const { contentType, host, port } = this.options;
     const { body, holdMilliseconds = 0, method, path } = call;
     const headers = body === undefined ? {} : { 'content-type': contentType };
     return new Promise((resolve) => {
-      const unavailable = (detail: string): void => {
+      const fail = (detail: string): void => {
         clearTimeout(timer);
         resolve({ detail, kind: 'unavailable' });
         request.destroy();
       };
       const request = httpRequest({ agent: this.agent, headers, host, method, path, port, signal });
       const timer = setTimeout(() => {
-        unavailable('no answer in time');
-      }, holdMilliseconds + answerTimeoutMilliseconds);
+        fail('no response in time');
+      }, holdMilliseconds + responseTimeoutMilliseconds);
       request.on('error', (error) => {
-        unavailable(error.message);
+        fail(error.message);
       });
       request.on('response', (response) => {
         const chunks: Buffer[] = [];
@@ -66,25 +74,25 @@
         response.on('data', (chunk: Buffer) => {
           chunks.push(chunk);
           bytes += chunk.length;
-          if (bytes > maximumAnswerBytes) unavailable('the answer is too long');
+          if (bytes > maximumResponseBytes) fail('response too long');
         });
         response.on('error', (error) => {
-          unavailable(error.message);
+          fail(error.message);
         });
         response.on('close', () => {
-          if (!response.complete) unavailable('the answer was cut');
+          if (!response.complete) fail('response aborted before the end of its body');
         });
         response.on('end', () => {
           clearTimeout(timer);
           const text = Buffer.concat(chunks).toString('utf8');
-          resolve({ ...call.parse(response.statusCode ?? 0, text), era: this.eraOf(response) });
+          resolve({ ...call.parse(response.statusCode ?? 0, text), era: this.readEra(response) });
         });
       });
       request.end(body);
     });
   }
 
-  private eraOf({ headers }: IncomingMessage): number | undefined {
+  private readEra({ headers }: IncomingMessage): number | undefined {
     const { eraHeader, parseEra } = this.options.codec;
     const value = headers[eraHeader];
     return typeof value === 'string' ? parseEra(value) : undefined;
--- a/packages/platform/src/key-values/key-value-store.ts
+++ b/packages/platform/src/key-values/key-value-store.ts
@@ -2,62 +2,62 @@
 export interface StoredItem {
   readonly key: string;
   readonly value: Uint8Array;
-  /** Of its last change. */
+  /** Revision of the last change of this key. */
   readonly revision: number;
 }
 
-/** Items of the store at a revision. */
+/** One page of items, read at a revision of the store. */
 export interface ItemPage {
   readonly items: readonly StoredItem[];
-  /** Continue after the last item if there are more. */
+  /** Whether another page follows; it starts after the last item of this one. */
   readonly hasMore: boolean;
-  /** Revision of the store, from which a watch goes on. */
+  /** Revision of the store, from which a watch can continue. */
   readonly revision: number;
 }
 
-/** What became of a call to the store. */
+/** The outcome of a call to the store. */
 export type StoreOutcome<Value> =
   | { readonly kind: 'ok'; readonly value: Value }
   /** The key does not exist. */
   | { readonly kind: 'missing' }
-  /** The history that a watch asked for is gone. */
+  /** The store has compacted the history that a watch requested. */
   | { readonly kind: 'compacted' }
-  /** The store did nothing, or nobody knows whether it did. */
+  /** The call failed: it had no effect, or its effect is unknown. */
   | { readonly kind: 'unavailable'; readonly detail: string };
 
-/** An outcome, and the era of the store that its answer told. */
-export type StoreAnswer<Value> = StoreOutcome<Value> & { readonly era?: number | undefined };
+/** An outcome with the era of the store that the response reported, if any. */
+export type StoreResponse<Value> = StoreOutcome<Value> & { readonly era?: number | undefined };
 
-/** One HTTP call to the store, in the store's form. */
+/** One HTTP call in the protocol of the store. */
 export interface StoreCall<Value> {
-  /** For logs and counters. */
+  /** Identifies the kind of call in logs and metrics. */
   readonly name: string;
   readonly method: 'DELETE' | 'GET' | 'POST';
   readonly path: string;
   readonly body?: string;
-  /** Time that the store may hold the call before it answers. */
+  /** Time for which the store may hold the call open before it responds (long polling). */
   readonly holdMilliseconds?: number;
   parse(status: number, body: string): StoreOutcome<Value>;
 }
 
-/** The calls that a node makes, in the store's form. */
+/** Encodes the calls of a node in the protocol of the store. */
 export interface StoreCallCodec {
   /** The key that holds the operators' configuration. */
   readonly configurationKey: string;
-  /** The header field of all answers that tells the era of the store; in lower case. */
+  /** Name (in lower case) of the header field of all responses that carries the era of the store. */
   readonly eraHeader: string;
-  /** Undefined if the value can't be read. */
+  /** Returns `undefined` if the value is invalid. */
   parseEra(value: string): number | undefined;
-  /** `isOldEnough` allows an answer that is seconds old, at a tenth of the price. */
-  list(prefix: string, after: string | undefined, isOldEnough: boolean): StoreCall<ItemPage>;
+  /** `isStaleAllowed` permits a result that is seconds old, at a tenth of the price. */
+  list(prefix: string, after: string | undefined, isStaleAllowed: boolean): StoreCall<ItemPage>;
   watch(prefix: string, revision: number, waitMilliseconds: number): StoreCall<ItemPage>;
   write(key: string, value: Uint8Array): StoreCall<undefined>;
-  /** Removes a key that has not changed since the revision. */
+  /** Removes a key unless it has changed since the revision. */
   remove(key: string, revision: number): StoreCall<undefined>;
 }
 
-/** Makes calls to the store. */
+/** Sends calls to the store. */
 export interface StoreTransport {
-  /** `signal` gives the call up. */
-  execute<Value>(call: StoreCall<Value>, signal?: AbortSignal): Promise<StoreAnswer<Value>>;
+  /** `signal` aborts the call. */
+  execute<Value>(call: StoreCall<Value>, signal?: AbortSignal): Promise<StoreResponse<Value>>;
 }
--- a/packages/platform/src/key-values/store-era.ts
+++ b/packages/platform/src/key-values/store-era.ts
@@ -1,48 +1,48 @@
 /**
- * Time for which a store answers with lower eras only before its count is taken to have begun anew. Old reads
- * are seconds behind, so answers of an earlier copy have ended by then.
+ * Time for which the store has to report only lower eras before a lower era is accepted as a restarted count.
+ * Stale reads lag by seconds, so the responses of an earlier copy have ceased by then.
  */
-const newCountMilliseconds = 10_000;
+const lowerEraAcceptedAfterMilliseconds = 10_000;
 
-/** Which copy of the store an answer comes from. */
-export const EraFinding = {
+/** Which copy of the store a response comes from. */
+export const EraStatus = {
   Current: 'current',
-  /** From a copy that has been replaced; what it says no longer holds. */
+  /** From a copy that has been replaced; the response is no longer valid. */
   Outdated: 'outdated',
-  /** The store has come back from an older copy since the last answer: what it had acknowledged may be gone. */
+  /** The store was restored from an older copy since the last response: acknowledged writes may be lost. */
   Restored: 'restored',
 } as const;
-export type EraFinding = (typeof EraFinding)[keyof typeof EraFinding];
+export type EraStatus = (typeof EraStatus)[keyof typeof EraStatus];
 
 /**
- * The era of the store, as its answers tell it. A store that is restored from a copy gives revisions out again
- * and begins a new era, so revisions of different eras can't be compared. Answers without an era are taken as
- * current: there are stores that don't count them.
+ * Tracks the era of the store from its responses. A store that is restored from a copy assigns revisions a second
+ * time and starts a new era, so revisions of different eras are not comparable. Responses without an era count as
+ * current, since some stores do not report eras.
  */
-export class StoreEra {
-  private known: number | undefined;
-  private lowerSince: number | undefined;
+export class StoreEraTracker {
+  private latestEra: number | undefined;
+  private lowerErasSince: number | undefined;
 
-  /** Undefined until an answer told it. */
+  /** The current era; `undefined` until a response has reported one. */
   public get current(): number | undefined {
-    return this.known;
+    return this.latestEra;
   }
 
-  /** An answer came with this era. */
-  public note(era: number | undefined, now: number): EraFinding {
-    if (era === undefined) return EraFinding.Current;
-    const { known } = this;
-    if (known === undefined || era === known) {
-      this.known = era;
-      this.lowerSince = undefined;
-      return EraFinding.Current;
+  /** Classifies a response by its era, and updates the current era. */
+  public observe(era: number | undefined, now: number): EraStatus {
+    if (era === undefined) return EraStatus.Current;
+    const { latestEra } = this;
+    if (latestEra === undefined || era === latestEra) {
+      this.latestEra = era;
+      this.lowerErasSince = undefined;
+      return EraStatus.Current;
     }
-    if (era < known) {
-      this.lowerSince ??= now;
-      if (now - this.lowerSince < newCountMilliseconds) return EraFinding.Outdated;
+    if (era < latestEra) {
+      this.lowerErasSince ??= now;
+      if (now - this.lowerErasSince < lowerEraAcceptedAfterMilliseconds) return EraStatus.Outdated;
     }
-    this.known = era;
-    this.lowerSince = undefined;
-    return EraFinding.Restored;
+    this.latestEra = era;
+    this.lowerErasSince = undefined;
+    return EraStatus.Restored;
   }
 }
--- a/packages/platform/src/key-values/store-session.ts
+++ b/packages/platform/src/key-values/store-session.ts
@@ -1,202 +1,207 @@
-import { ConfigurationReading } from './configuration-reading.js';
+import { ConfigurationReader } from './configuration-reading.js';
 import type { ItemPage, StoreCallCodec, StoredItem, StoreTransport } from './key-value-store.js';
-import { Pauses } from './pauses.js';
+import { CancellableDelays } from './cancellable-delays.js';
 import { RecentRemovals } from './recent-removals.js';
-import type { EntryTest } from './recent-removals.js';
-import { StoreAccess } from './store-access.js';
-import type { AccessOutcome } from './store-access.js';
+import type { EntryPredicate } from './recent-removals.js';
+import { StoreClient } from './store-client.js';
+import type { StoreClientOutcome } from './store-client.js';
 
 /**
- * Pauses before the directory is read again after the first start of a node. A read may be seconds old, so it
- * may lack the nodes that start at the same time.
+ * Delays before the additional reads of the directory after the first registration of a node. A read may be
+ * seconds old, so it may lack nodes that start at the same time.
  */
-const rereadMilliseconds: readonly number[] = [1_500, 5_000];
-/** Time between later reads; new nodes connect to others by themselves, so these may learn of them late. */
-const directoryMilliseconds = 300_000;
+const startupRereadDelaysMilliseconds: readonly number[] = [1_500, 5_000];
+/** Interval of later directory reads. It can be long, since new nodes connect to the existing ones themselves. */
+const directoryReadIntervalMilliseconds = 300_000;
 /**
- * Time between checks of whether the store answers, while this node watches it or it does not answer. A watch
- * that waited through an outage may never be answered.
+ * Interval of checks whether the store responds, while this node watches the configuration or the store is
+ * unreachable. A watch that was open during an outage may never be answered.
  */
-const reachCheckMilliseconds = 3_000;
-/** Reads that have to miss this node's entry before it is written again; one may be older than the entry. */
+const reachabilityCheckMilliseconds = 3_000;
+/** Consecutive reads without this node's entry before it is written again; one may be older than the entry. */
 const missesBeforeWrite = 2;
 /**
- * Nodes look at their entries within this time after they hear that the store came back from a copy. Entries
- * are to stand again about 2 s after the return, and a watcher may take up to 1.5 s of these to find it.
+ * Nodes check their entries within this time after they have learned that the store was restored from a copy.
+ * Entries should exist again about 2 s after the restore, of which a watching node may need up to 1.5 s to detect it.
  */
-const entryCheckSpreadMilliseconds = 500;
-/** Reads that may be old are tried this often in a new era; then one that is exact. */
-const oldReadsOfNewEra = 3;
+const entryCheckJitterMilliseconds = 500;
+/** Number of stale reads in a new era before an up-to-date read. */
+const staleReadsOfNewEra = 3;
 
 export interface StoreSessionOptions {
   readonly transport: StoreTransport;
   readonly clock: () => number;
   readonly codec: StoreCallCodec;
-  /** Where nodes keep their entries, with a slash at its end. */
+  /** Key prefix of the entries of nodes, with a trailing slash. */
   readonly directoryPrefix: string;
   readonly nodeName: string;
   readonly entry: Uint8Array;
-  /** Whether a stored entry of this node says the same as its own. */
-  readonly isEntryCurrent: EntryTest;
+  /** Whether a stored entry of this node is equivalent to `entry`. */
+  readonly isEntryCurrent: EntryPredicate;
   readonly random: () => number;
-  readonly configurationRead: (content: Uint8Array) => void;
-  readonly entryRead: (item: StoredItem) => void;
-  /** All entries have been read once. */
-  readonly directoryRead: () => void;
-  readonly reachabilityChanged: (isReachable: boolean, detail: string) => void;
-  /** An answer told the era of the store for the first time, or that it came back from an older copy. */
-  readonly eraSeen: (era: number, isRestored: boolean) => void;
+  readonly onConfigurationRead: (content: Uint8Array) => void;
+  readonly onEntryRead: (item: StoredItem) => void;
+  /** Called after each complete read of the directory. */
+  readonly onDirectoryRead: () => void;
+  readonly onReachabilityChange: (isReachable: boolean, detail: string) => void;
+  /** Called with the first era that the store reports, and after each restore from an older copy. */
+  readonly onEraObserved: (era: number, isRestored: boolean) => void;
 }
 
 /**
- * What a node does with the store: it keeps its entry in the directory, reads the other entries and the
- * configuration once, and watches the configuration while it is told to. Calls are billed, so a start reads
- * what may be seconds old at a tenth of the price, and an entry of an earlier life that still holds stays as it
- * is. An entry has no lease, whose renewals would grow with the fleet: others find out by its connections
- * whether a node lives, and remove the entry of one that ended for good. A store that comes back from an older
- * copy has lost what it acknowledged since: reads and watches start anew, entries and removals are repeated.
+ * The use of the store by one node: it maintains the entry of the node in the directory, reads the other entries and
+ * the configuration, and watches the configuration while this is enabled.
+ *
+ * Calls are billed, so a start uses stale reads at a tenth of the price, and a current entry of an earlier
+ * incarnation is not written again. Entries have no lease, since the number of renewals would grow with the number of
+ * nodes: other nodes detect by their connections whether a node is alive, and remove the entry of one that has ended
+ * for good. A store that was restored from an older copy has lost the writes that it acknowledged since, so reads and
+ * watches start over, and entries and removals are repeated.
  */
 export class StoreSession {
-  private readonly access: StoreAccess;
-  private readonly configuration: ConfigurationReading;
-  private readonly pauses: Pauses;
-  private readonly removals: RecentRemovals;
+  private readonly storeClient: StoreClient;
+  private readonly configurationReader: ConfigurationReader;
+  private readonly delays: CancellableDelays;
+  private readonly recentRemovals: RecentRemovals;
   private entryMisses = 0;
-  /** This node's entry was missing at its start, so others may have started with it. */
-  private isNew = false;
+  /** This node's entry was missing at its start, so other nodes may have started at the same time. */
+  private isFirstRegistration = false;
   private isClosed = false;
   private isWatching = false;
-  /** The highest era that another node told. */
-  private toldEra = -Infinity;
-  /** The era in which the entry was last seen or written. */
+  /** The highest era that another node reported. */
+  private highestReportedEra = -Infinity;
+  /** The era in which the entry was last read or written. */
   private entryEra: number | undefined;
   private isRestoringEntry = false;
-  /** Ends the wait for the next check of the entry. */
+  /** Ends the wait in `waitForCheck`. */
   private wakeCheck: (() => void) | undefined;
 
   public constructor(private readonly options: StoreSessionOptions) {
-    const { clock, codec, configurationRead, random, transport } = options;
-    this.pauses = new Pauses(random);
-    this.removals = new RecentRemovals(clock);
-    this.access = new StoreAccess({
+    const { clock, codec, onConfigurationRead, random, transport } = options;
+    this.delays = new CancellableDelays(random);
+    this.recentRemovals = new RecentRemovals(clock);
+    this.storeClient = new StoreClient({
       clock,
       codec,
       events: {
-        eraSeen: (era) => {
+        onFirstEra: (era) => {
           this.entryEra = era;
-          options.eraSeen(era, false);
+          options.onEraObserved(era, false);
         },
-        reachabilityChanged: (isReachable, detail) => {
-          this.reachabilityChanged(isReachable, detail);
+        onReachabilityChange: (isReachable, detail) => {
+          this.handleReachabilityChange(isReachable, detail);
         },
-        restored: (era) => {
-          this.restored(era);
+        onRestored: (era) => {
+          this.handleStoreRestored(era);
         },
       },
       transport,
     });
-    this.configuration = new ConfigurationReading({
-      access: this.access,
+    this.configurationReader = new ConfigurationReader({
+      storeClient: this.storeClient,
       codec,
-      pauses: this.pauses,
-      read: configurationRead,
+      delays: this.delays,
+      onRead: onConfigurationRead,
     });
   }
 
   public start(): void {
-    void this.keepEntry();
-    void this.configuration.follow();
-    void this.keepChecking();
+    void this.maintainEntry();
+    void this.configurationReader.run();
+    void this.checkPeriodically();
   }
 
-  /** Whether this node watches the configuration; the change is in force at once. */
-  public watchConfiguration(isWatching: boolean): void {
+  /** Starts or stops watching the configuration, with immediate effect. */
+  public setConfigurationWatching(isWatching: boolean): void {
     this.isWatching = isWatching;
-    this.configuration.watch(isWatching);
+    this.configurationReader.setWatching(isWatching);
     if (isWatching) this.wakeCheck?.();
   }
 
-  /** Another node has had an answer of this era. Only the store's own answers show whether it is so. */
-  public eraTold(era: number): void {
-    const known = this.access.currentEra ?? -Infinity;
-    if (this.isClosed || era <= Math.max(known, this.toldEra)) return;
-    this.toldEra = era;
+  /** Another node reported this era. It takes effect only when a response of the store itself confirms it. */
+  public handleReportedEra(era: number): void {
+    const known = this.storeClient.currentEra ?? -Infinity;
+    if (this.isClosed || era <= Math.max(known, this.highestReportedEra)) return;
+    this.highestReportedEra = era;
     void this.confirmEra(era);
   }
 
-  /** Reads the directory once more, for a node that is connected to no other. */
+  /** Reads the directory again and checks this node's entry: periodically, and while no peer is connected. */
   public async refreshDirectory(): Promise<void> {
     const items = this.isClosed ? undefined : await this.readDirectory();
     if (items !== undefined) await this.checkEntry(items);
   }
 
-  /** Removes this node's entry, so that new nodes do not look for it. */
+  /** Removes this node's entry, so that new nodes do not try to connect to it. */
   public async leave(): Promise<void> {
     this.close();
     await this.removeEntry(this.options.nodeName, () => true);
   }
 
-  /** Removes the entry of a node if it is as expected and nobody writes it meanwhile. */
-  public async removeEntry(name: string, isExpected: EntryTest): Promise<void> {
+  /** Removes the entry of a node if it is the expected one and is not written concurrently. */
+  public async removeEntry(name: string, isExpected: EntryPredicate): Promise<void> {
     const item = await this.readEntry(name);
     if (item === undefined || !isExpected(item.value)) return;
-    const eraOfRead = this.access.currentEra;
-    this.removals.note(name, isExpected);
-    const removed = await this.access.call(this.options.codec.remove(item.key, item.revision));
-    // A lost answer leaves open whether it was removed; the next who dials the node in vain tries again.
-    if (removed.kind !== 'ok' && eraOfRead === this.access.currentEra) this.removals.forget(name);
+    const eraOfRead = this.storeClient.currentEra;
+    this.recentRemovals.add(name, isExpected);
+    const removed = await this.storeClient.call(this.options.codec.remove(item.key, item.revision));
+    // After a lost response the entry may still exist; the next node that fails to connect to it tries again.
+    if (removed.kind !== 'ok' && eraOfRead === this.storeClient.currentEra)
+      this.recentRemovals.discard(name);
   }
 
   public close(): void {
     this.isClosed = true;
-    this.configuration.close();
+    this.configurationReader.close();
     this.wakeCheck?.();
-    this.pauses.close();
+    this.delays.close();
   }
 
-  private async keepEntry(): Promise<void> {
+  private async maintainEntry(): Promise<void> {
     let failures = 0;
     while (!this.isClosed && !(await this.register())) {
       failures += 1;
-      await this.pauses.beforeRetry(failures);
+      await this.delays.backOff(failures);
     }
-    const rereads = this.isNew ? rereadMilliseconds : [];
+    const rereads = this.isFirstRegistration ? startupRereadDelaysMilliseconds : [];
     for (let reread = 0; !this.isClosed; reread += 1) {
-      await this.pauses.sleep(rereads[reread] ?? directoryMilliseconds);
+      await this.delays.sleep(rereads[reread] ?? directoryReadIntervalMilliseconds);
       await this.refreshDirectory();
     }
   }
 
-  /** Reads the others first, so that requests can be served soon, and writes the entry unless it stands. */
+  /** Reads the other entries first, so that requests can be served early, and writes the entry unless it is current. */
   private async register(): Promise<boolean> {
     const items = await this.readDirectory();
     if (items === undefined) return false;
-    if (this.isCurrentIn(items)) return true;
-    this.isNew = true;
+    if (this.hasCurrentEntry(items)) return true;
+    this.isFirstRegistration = true;
     return this.writeEntry();
   }
 
   private async writeEntry(): Promise<boolean> {
     const { codec, entry, nodeName } = this.options;
-    const written = await this.access.call(codec.write(this.entryKey(nodeName), entry));
+    const written = await this.storeClient.call(codec.write(this.entryKey(nodeName), entry));
     return written.kind === 'ok';
   }
 
   private async readDirectory(): Promise<readonly StoredItem[] | undefined> {
-    const { directoryPrefix, directoryRead, entryRead } = this.options;
-    const outcome = await this.access.list(directoryPrefix, true);
+    const { directoryPrefix, onDirectoryRead, onEntryRead } = this.options;
+    const outcome = await this.storeClient.list(directoryPrefix, true);
     if (outcome.kind !== 'ok') return undefined;
     const { items } = outcome.value;
-    for (const item of items) entryRead(item);
-    directoryRead();
+    for (const item of items) onEntryRead(item);
+    onDirectoryRead();
     return items;
   }
 
-  /** Checks that the store answers, while that matters, with a call that tells of the entry too. */
-  private async keepChecking(): Promise<void> {
+  /** Checks while necessary that the store responds, with a call that also reads this node's entry. */
+  private async checkPeriodically(): Promise<void> {
     for (;;) {
-      const isReachNeeded = this.isWatching || !this.access.isReachable;
-      const isDue = await this.untilCheck(isReachNeeded ? reachCheckMilliseconds : undefined);
+      const isCheckNeeded = this.isWatching || !this.storeClient.isReachable;
+      const isDue = await this.waitForCheck(
+        isCheckNeeded ? reachabilityCheckMilliseconds : undefined,
+      );
       if (this.isClosed) return;
       if (!isDue) continue;
       const outcome = await this.listOwnEntry(true);
@@ -204,7 +209,7 @@
     }
   }
 
-  /** Writes the entry again if it was removed. */
+  /** Writes the entry again if `missesBeforeWrite` reads in a row lacked it. */
   private async checkEntry(items: readonly StoredItem[]): Promise<void> {
     const key = this.entryKey(this.options.nodeName);
     const isPresent = items.some((item) => item.key === key);
@@ -213,64 +218,64 @@
     if (await this.writeEntry()) this.entryMisses = 0;
   }
 
-  /** Asks the store about an era that another node told, often enough for old reads to have passed. */
+  /** Reads from the store until it confirms an era that another node reported; the last read is up to date. */
   private async confirmEra(era: number): Promise<void> {
-    for (let reads = 0; reads <= oldReadsOfNewEra && !this.isClosed; reads += 1) {
-      await this.pauses.spread(entryCheckSpreadMilliseconds);
-      if ((this.access.currentEra ?? -Infinity) >= era) return;
-      await this.listOwnEntry(reads < oldReadsOfNewEra);
+    for (let reads = 0; reads <= staleReadsOfNewEra && !this.isClosed; reads += 1) {
+      await this.delays.sleepWithJitter(entryCheckJitterMilliseconds);
+      if ((this.storeClient.currentEra ?? -Infinity) >= era) return;
+      await this.listOwnEntry(reads < staleReadsOfNewEra);
     }
   }
 
-  /** The store came back from an older copy. */
-  private restored(era: number): void {
-    this.options.eraSeen(era, true);
-    this.configuration.restored();
+  /** Called when the store was restored from an older copy. */
+  private handleStoreRestored(era: number): void {
+    this.options.onEraObserved(era, true);
+    this.configurationReader.handleStoreRestored();
     void this.restoreEntry();
-    for (const [name, isExpected] of this.removals.recent()) {
+    for (const [name, isExpected] of this.recentRemovals.recent()) {
       void this.removeEntry(name, isExpected);
     }
-    // Entries of nodes that ended before may be back too: whoever dials these in vain removes them.
+    // Entries of nodes that ended earlier may exist again; nodes that fail to connect to these remove them.
     if (this.isWatching) void this.readDirectory();
   }
 
-  /** Sees to it that the entry stands in the era that holds, as soon as an answer of that era tells of it. */
+  /** Ensures that the entry exists in the current era, confirmed by a response of that era. */
   private async restoreEntry(): Promise<void> {
     if (this.isRestoringEntry) return;
     this.isRestoringEntry = true;
-    await this.pauses.spread(entryCheckSpreadMilliseconds);
+    await this.delays.sleepWithJitter(entryCheckJitterMilliseconds);
     let failures = 0;
-    while (!this.isClosed && this.entryEra !== this.access.currentEra) {
-      const era = this.access.currentEra;
-      if (await this.standsOrIsWritten(failures < oldReadsOfNewEra)) {
+    while (!this.isClosed && this.entryEra !== this.storeClient.currentEra) {
+      const era = this.storeClient.currentEra;
+      if (await this.ensureEntry(failures < staleReadsOfNewEra)) {
         this.entryEra = era;
         continue;
       }
       failures += 1;
-      await this.pauses.beforeRetry(failures);
+      await this.delays.backOff(failures);
     }
     this.isRestoringEntry = false;
   }
 
-  private async standsOrIsWritten(isOldEnough: boolean): Promise<boolean> {
-    const outcome = await this.listOwnEntry(isOldEnough);
+  private async ensureEntry(isStaleAllowed: boolean): Promise<boolean> {
+    const outcome = await this.listOwnEntry(isStaleAllowed);
     if (outcome.kind !== 'ok') return false;
-    return this.isCurrentIn(outcome.value.items) || (await this.writeEntry());
+    return this.hasCurrentEntry(outcome.value.items) || (await this.writeEntry());
   }
 
-  private listOwnEntry(isOldEnough: boolean): Promise<AccessOutcome<ItemPage>> {
+  private listOwnEntry(isStaleAllowed: boolean): Promise<StoreClientOutcome<ItemPage>> {
     const { codec, nodeName } = this.options;
-    return this.access.call(codec.list(this.entryKey(nodeName), undefined, isOldEnough));
+    return this.storeClient.call(codec.list(this.entryKey(nodeName), undefined, isStaleAllowed));
   }
 
-  private isCurrentIn(items: readonly StoredItem[]): boolean {
+  private hasCurrentEntry(items: readonly StoredItem[]): boolean {
     const own = items.find(({ key }) => key === this.entryKey(this.options.nodeName));
     return own !== undefined && this.options.isEntryCurrent(own.value);
   }
 
   private async readEntry(name: string): Promise<StoredItem | undefined> {
     const key = this.entryKey(name);
-    const outcome = await this.access.list(key, false);
+    const outcome = await this.storeClient.list(key, false);
     if (outcome.kind !== 'ok') return undefined;
     return outcome.value.items.find((item) => item.key === key);
   }
@@ -279,14 +284,17 @@
     return `${this.options.directoryPrefix}${name}`;
   }
 
-  private reachabilityChanged(isReachable: boolean, detail: string): void {
-    if (isReachable) this.configuration.restartWatch();
+  private handleReachabilityChange(isReachable: boolean, detail: string): void {
+    if (isReachable) this.configurationReader.restartWatch();
     this.wakeCheck?.();
-    this.options.reachabilityChanged(isReachable, detail);
+    this.options.onReachabilityChange(isReachable, detail);
   }
 
-  /** Without a time it waits for a reason to check. False if it ended since the time has changed. */
-  private async untilCheck(milliseconds: number | undefined): Promise<boolean> {
+  /**
+   * Waits for the given time; without one, until `wakeCheck` is called. Resolves to false if `wakeCheck` ended the
+   * wait, since the time to wait may have changed.
+   */
+  private async waitForCheck(milliseconds: number | undefined): Promise<boolean> {
     const isDue = await new Promise<boolean>((resolve) => {
       const timer =
         milliseconds === undefined ? undefined : setTimeout(resolve, milliseconds, true);
--- a/packages/platform/src/key-watch.ts
+++ b/packages/platform/src/key-watch.ts
@@ -1,25 +1,26 @@
 import type { StoreEntry, StoreResult } from '@peridotspring/core';
 
 import type { GatewayClient } from './gateway-client.js';
-import { encode, toStoreEntry, watchLine } from './gateway-replies.js';
+import { encodeBase64, toStoreEntry, watchMessageSchema } from './gateway-responses.js';
 
-/** Reads one key; undefined means that no answer came. */
+/** Reads one key; the result is `undefined` if the call failed. */
 export type ReadKey = (
   key: string,
-  deliver: (result: StoreEntry | 'missing' | undefined) => void,
+  onResult: (result: StoreEntry | 'missing' | undefined) => void,
 ) => void;
 
 interface Waiter {
   readonly afterVersion: number;
-  readonly deliver: (result: StoreResult) => void;
+  readonly onResult: (result: StoreResult) => void;
 }
 
-/** One watch stream on a key, shared by everyone who waits for that key. */
+/** One watch stream on a key, shared by all waiters for that key. */
 export class KeyWatch {
   private readonly waiters = new Set<Waiter>();
-  private newest: StoreEntry | undefined;
+  private latestEntry: StoreEntry | undefined;
   private hasEnded = false;
-  private isAnswered = false;
+  /** The store has confirmed the watch, or this node closed the stream. */
+  private isConfirmedOrClosed = false;
   private readonly endStream: () => void;
   private readonly readTimer: NodeJS.Timeout;
 
@@ -27,89 +28,89 @@
     client: GatewayClient,
     private readonly key: string,
     private readonly read: ReadKey,
-    /** A stream can stay open and carry nothing, so the key is also read this often. */
+    /** Interval of additional reads of the key, since a stream can stay open without delivering anything. */
     readIntervalMilliseconds: number,
-    /** Told whether the store had confirmed the watch, or nobody waited for that any more. */
-    private readonly ended: (wasAnswered: boolean) => void,
+    /** Called once; the argument is false if the stream ended before the store had confirmed the watch. */
+    private readonly onEnded: (wasConfirmedOrClosed: boolean) => void,
   ) {
-    const body = { create_request: { key: encode(key) } };
+    const body = { create_request: { key: encodeBase64(key) } };
     this.endStream = client.stream('/v3/watch', body, {
-      line: (value) => {
-        this.line(value);
+      onLine: (value) => {
+        this.handleLine(value);
       },
-      ended: () => {
-        this.end();
+      onEnded: () => {
+        this.finish();
       },
     });
     this.readTimer = setInterval(() => {
-      this.refresh();
+      this.readLatestEntry();
     }, readIntervalMilliseconds);
   }
 
-  /** Waits for a version above the given one; delivers `unknown` when the stream ends first. */
-  public wait(afterVersion: number, deliver: (result: StoreResult) => void): void {
-    if (this.newest !== undefined && this.newest.version > afterVersion) {
-      const entry = this.newest;
+  /** Waits for a version above `afterVersion`; the result is `unknown` if the stream ends first. */
+  public waitForNewerVersion(afterVersion: number, onResult: (result: StoreResult) => void): void {
+    if (this.latestEntry !== undefined && this.latestEntry.version > afterVersion) {
+      const entry = this.latestEntry;
       queueMicrotask(() => {
-        deliver({ kind: 'found', entry });
+        onResult({ kind: 'found', entry });
       });
       return;
     }
-    this.waiters.add({ afterVersion, deliver });
+    this.waiters.add({ afterVersion, onResult });
   }
 
   public close(): void {
-    // A stream that this side ends says nothing of the store.
-    this.isAnswered = true;
+    // A stream that this node closes is no sign of an outage of the store.
+    this.isConfirmedOrClosed = true;
     this.endStream();
-    this.end();
+    this.finish();
   }
 
-  private line(value: unknown): void {
-    const parsed = watchLine.safeParse(value);
+  private handleLine(value: unknown): void {
+    const parsed = watchMessageSchema.safeParse(value);
     if (!parsed.success || parsed.data.result.canceled) {
       this.close();
       return;
     }
-    this.isAnswered = true;
-    // What changed before the stream was open is found by reading once it is.
-    if (parsed.data.result.created) this.refresh();
+    this.isConfirmedOrClosed = true;
+    // Changes that were made before the stream was open are found by this read.
+    if (parsed.data.result.created) this.readLatestEntry();
     for (const event of parsed.data.result.events) {
-      if (event.type === 'DELETE') this.newest = undefined;
-      else this.learn(toStoreEntry(event.kv));
+      if (event.type === 'DELETE') this.latestEntry = undefined;
+      else this.updateLatestEntry(toStoreEntry(event.kv));
     }
   }
 
-  private refresh(): void {
-    // A stream that nobody waits on any more is given back to the store.
-    if (this.waiters.size === 0 && this.newest !== undefined) {
+  private readLatestEntry(): void {
+    // A stream without waiters is closed, which ends the watch at the store.
+    if (this.waiters.size === 0 && this.latestEntry !== undefined) {
       this.close();
       return;
     }
     this.read(this.key, (result) => {
       if (this.hasEnded) return;
       if (result === undefined) this.close();
-      else if (result !== 'missing') this.learn(result);
+      else if (result !== 'missing') this.updateLatestEntry(result);
     });
   }
 
-  private learn(entry: StoreEntry): void {
-    if (this.newest !== undefined && this.newest.version >= entry.version) return;
-    this.newest = entry;
+  private updateLatestEntry(entry: StoreEntry): void {
+    if (this.latestEntry !== undefined && this.latestEntry.version >= entry.version) return;
+    this.latestEntry = entry;
     for (const waiter of [...this.waiters]) {
       if (entry.version <= waiter.afterVersion) continue;
       this.waiters.delete(waiter);
-      waiter.deliver({ kind: 'found', entry });
+      waiter.onResult({ kind: 'found', entry });
     }
   }
 
-  private end(): void {
+  private finish(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     clearInterval(this.readTimer);
-    this.ended(this.isAnswered);
+    this.onEnded(this.isConfirmedOrClosed);
     for (const waiter of this.waiters) {
-      waiter.deliver({ kind: 'unknown' });
+      waiter.onResult({ kind: 'unknown' });
     }
     this.waiters.clear();
   }
--- a/packages/platform/src/platform-store.ts
+++ b/packages/platform/src/platform-store.ts
@@ -7,22 +7,27 @@
 } from '@peridotspring/core';
 
 import { GatewayClient } from './gateway-client.js';
-import { encode, rangeReply, toStoreEntry, transactionReply } from './gateway-replies.js';
+import {
+  encodeBase64,
+  rangeResponseSchema,
+  toStoreEntry,
+  transactionResponseSchema,
+} from './gateway-responses.js';
 import { KeyWatch } from './key-watch.js';
 
-/** How a node reaches the platform's key-value service. */
+/** Options of the client of the platform's key-value store. */
 export interface PlatformStoreOptions {
   /** Base URL, for example `http://127.0.0.1:2379`. */
   readonly url: string;
-  /** Called when the service stops answering and when it answers again. */
-  readonly reachabilityChanged?: ((isReachable: boolean) => void) | undefined;
-  /** Time after which a call counts as unanswered; default 2,000. */
+  /** Called when the store stops responding and when it responds again. */
+  readonly onReachabilityChange?: ((isReachable: boolean) => void) | undefined;
+  /** Timeout of a call; default 2,000. */
   readonly timeoutMilliseconds?: number | undefined;
-  /** How often a watched key is also read, in case its stream is silently dead; default 30,000. */
+  /** Interval of additional reads of a watched key, in case its stream delivers nothing; default 30,000. */
   readonly watchReadIntervalMilliseconds?: number | undefined;
 }
 
-/** Calls sent to the platform and how many of them got no usable answer. */
+/** Number of calls to the store by kind, and of calls without a valid response. */
 export interface PlatformCallCounters {
   readonly reads: number;
   readonly writes: number;
@@ -32,131 +37,134 @@
 
 const defaultTimeoutMilliseconds = 2_000;
 const defaultWatchReadIntervalMilliseconds = 30_000;
-/** Weight of the newest answer in the smoothed latency. */
+/** Weight of the latest sample in the exponentially smoothed latency. */
 const latencyWeight = 0.1;
-/** Connections for reads and writes; more would only queue at the store. */
+/** Limit on connections for reads and writes; requests on more connections would only queue at the store. */
 const maximumConnections = 8;
 
-/** Client of the platform's key-value service through the etcd v3 JSON gateway. */
+/** Client of the platform's key-value store through the etcd v3 JSON gateway. */
 export class PlatformStore {
   private readonly client: GatewayClient;
   private readonly watches = new Map<string, KeyWatch>();
-  private readonly counts = { reads: 0, writes: 0, watches: 0, unanswered: 0 };
-  private lastCallAnswered = true;
-  private answeredAt: number | undefined;
+  private readonly callCounts = { reads: 0, writes: 0, watches: 0, unanswered: 0 };
+  private wasLastCallAnswered = true;
+  private lastResponseTime: number | undefined;
   private smoothedLatency = 0;
-  private closed = false;
+  private isClosed = false;
 
   public constructor(private readonly options: PlatformStoreOptions) {
     const timeout = options.timeoutMilliseconds ?? defaultTimeoutMilliseconds;
     this.client = new GatewayClient(new URL(options.url), timeout, maximumConnections);
   }
 
-  /** Whether the most recent call was answered. */
-  public get reachable(): boolean {
-    return this.lastCallAnswered;
+  /** Whether the most recent call got a valid response. */
+  public get isResponding(): boolean {
+    return this.wasLastCallAnswered;
   }
 
-  /** Wall time of the last answer; undefined before the first one. */
-  public get lastAnswerAt(): number | undefined {
-    return this.answeredAt;
+  /** Wall-clock time of the last valid response, in milliseconds; `undefined` before the first one. */
+  public get lastResponseAt(): number | undefined {
+    return this.lastResponseTime;
   }
 
-  /** Smoothed time from a call to its answer. */
+  /** Exponentially smoothed response time of reads and writes. */
   public get latencyMilliseconds(): number {
     return this.smoothedLatency;
   }
 
   public get counters(): PlatformCallCounters {
-    return { ...this.counts };
+    return { ...this.callCounts };
   }
 
-  /** Carries out an operation; the result is delivered exactly once, also when the store is closed. */
-  public execute(operation: StoreOperation, deliver: (result: StoreResult) => void): void {
-    if (this.closed) {
+  /** Executes an operation; `onResult` is called exactly once, also when the client is closed. */
+  public execute(operation: StoreOperation, onResult: (result: StoreResult) => void): void {
+    if (this.isClosed) {
       queueMicrotask(() => {
-        deliver({ kind: 'unknown' });
+        onResult({ kind: 'unknown' });
       });
       return;
     }
     switch (operation.kind) {
       case 'read':
         this.read(operation.key, (result) => {
-          if (result === undefined) deliver({ kind: 'unknown' });
-          else if (result === 'missing') deliver({ kind: 'missing' });
-          else deliver({ kind: 'found', entry: result });
+          if (result === undefined) onResult({ kind: 'unknown' });
+          else if (result === 'missing') onResult({ kind: 'missing' });
+          else onResult({ kind: 'found', entry: result });
         });
         return;
       case 'compare-and-swap':
-        this.write(operation, deliver);
+        this.write(operation, onResult);
         return;
       case 'list':
-        this.list(operation, deliver);
+        this.list(operation, onResult);
         return;
       case 'watch':
-        this.watch(operation.key).wait(operation.afterVersion, deliver);
+        this.watch(operation.key).waitForNewerVersion(operation.afterVersion, onResult);
         return;
     }
   }
 
-  /** Ends all calls and watches; what waits gets `unknown`. */
+  /** Aborts all calls and watches; pending operations result in `unknown`. */
   public close(): void {
-    this.closed = true;
+    this.isClosed = true;
     for (const watch of [...this.watches.values()]) {
       watch.close();
     }
     this.client.close();
   }
 
-  private read(key: string, deliver: (result: StoreEntry | 'missing' | undefined) => void): void {
-    this.counts.reads += 1;
+  private read(key: string, onResult: (result: StoreEntry | 'missing' | undefined) => void): void {
+    this.callCounts.reads += 1;
     const startedAt = performance.now();
-    this.client.call('/v3/kv/range', { key: encode(key) }, (reply) => {
-      const parsed = rangeReply.safeParse(reply);
-      this.noteAnswer(parsed.success, startedAt);
+    this.client.call('/v3/kv/range', { key: encodeBase64(key) }, (responseBody) => {
+      const parsed = rangeResponseSchema.safeParse(responseBody);
+      this.recordCallResult(parsed.success, startedAt);
       if (!parsed.success) {
-        deliver(undefined);
+        onResult(undefined);
         return;
       }
       const [found] = parsed.data.kvs;
-      deliver(found === undefined ? 'missing' : toStoreEntry(found));
+      onResult(found === undefined ? 'missing' : toStoreEntry(found));
     });
   }
 
-  private list(operation: StoreList, deliver: (result: StoreResult) => void): void {
-    this.counts.reads += 1;
+  private list(operation: StoreList, onResult: (result: StoreResult) => void): void {
+    this.callCounts.reads += 1;
     const startedAt = performance.now();
     const body = {
-      key: encode(operation.key),
-      range_end: encode(operation.end),
+      key: encodeBase64(operation.key),
+      range_end: encodeBase64(operation.end),
       limit: String(operation.limit),
       keys_only: true,
     };
-    this.client.call('/v3/kv/range', body, (reply) => {
-      const parsed = rangeReply.safeParse(reply);
-      this.noteAnswer(parsed.success, startedAt);
+    this.client.call('/v3/kv/range', body, (responseBody) => {
+      const parsed = rangeResponseSchema.safeParse(responseBody);
+      this.recordCallResult(parsed.success, startedAt);
       if (!parsed.success) {
-        deliver({ kind: 'unknown' });
+        onResult({ kind: 'unknown' });
         return;
       }
       const keys = parsed.data.kvs.map((found) => toStoreEntry(found).key);
-      deliver({ kind: 'listed', keys, isComplete: !parsed.data.more });
+      onResult({ kind: 'listed', keys, isComplete: !parsed.data.more });
     });
   }
 
-  private write(operation: StoreCompareAndSwap, deliver: (result: StoreResult) => void): void {
-    this.counts.writes += 1;
+  private write(operation: StoreCompareAndSwap, onResult: (result: StoreResult) => void): void {
+    this.callCounts.writes += 1;
     const startedAt = performance.now();
-    this.client.call('/v3/kv/txn', transactionBody(operation), (reply) => {
-      const parsed = transactionReply.safeParse(reply);
-      this.noteAnswer(parsed.success, startedAt);
+    this.client.call('/v3/kv/txn', transactionBody(operation), (responseBody) => {
+      const parsed = transactionResponseSchema.safeParse(responseBody);
+      this.recordCallResult(parsed.success, startedAt);
       if (!parsed.success) {
-        deliver({ kind: 'unknown' });
+        onResult({ kind: 'unknown' });
       } else if (parsed.data.succeeded) {
-        deliver({ kind: 'written', version: operation.expectedVersion + 1 });
+        onResult({ kind: 'written', version: operation.expectedVersion + 1 });
       } else {
         const found = parsed.data.responses[0]?.response_range?.kvs[0];
-        deliver({ kind: 'conflict', entry: found === undefined ? undefined : toStoreEntry(found) });
+        onResult({
+          kind: 'conflict',
+          entry: found === undefined ? undefined : toStoreEntry(found),
+        });
       }
     });
   }
@@ -164,19 +172,19 @@
   private watch(key: string): KeyWatch {
     const existing = this.watches.get(key);
     if (existing !== undefined) return existing;
-    this.counts.watches += 1;
+    this.callCounts.watches += 1;
     const interval =
       this.options.watchReadIntervalMilliseconds ?? defaultWatchReadIntervalMilliseconds;
     const watch: KeyWatch = new KeyWatch(
       this.client,
       key,
-      (readKey, deliver) => {
-        this.read(readKey, deliver);
+      (readKey, onResult) => {
+        this.read(readKey, onResult);
       },
       interval,
-      (wasAnswered) => {
-        // During an outage a watcher may call nothing but its watch.
-        if (!wasAnswered) this.noteAnswer(false, 0);
+      (wasConfirmedOrClosed) => {
+        // During an outage a watch may be the only call, so it has to report the outage as well.
+        if (!wasConfirmedOrClosed) this.recordCallResult(false, 0);
         if (this.watches.get(key) === watch) this.watches.delete(key);
       },
     );
@@ -184,34 +192,34 @@
     return watch;
   }
 
-  private noteAnswer(answered: boolean, startedAt: number): void {
-    if (answered !== this.lastCallAnswered) this.options.reachabilityChanged?.(answered);
-    this.lastCallAnswered = answered;
-    if (!answered) {
-      this.counts.unanswered += 1;
+  private recordCallResult(isAnswered: boolean, startedAt: number): void {
+    if (isAnswered !== this.wasLastCallAnswered) this.options.onReachabilityChange?.(isAnswered);
+    this.wasLastCallAnswered = isAnswered;
+    if (!isAnswered) {
+      this.callCounts.unanswered += 1;
       return;
     }
     const latency = performance.now() - startedAt;
-    const isFirst = this.answeredAt === undefined;
+    const isFirst = this.lastResponseTime === undefined;
     this.smoothedLatency += (latency - this.smoothedLatency) * (isFirst ? 1 : latencyWeight);
-    this.answeredAt = Date.now();
+    this.lastResponseTime = Date.now();
   }
 }
 
 function transactionBody(operation: StoreCompareAndSwap): unknown {
-  const key = encode(operation.key);
+  const key = encodeBase64(operation.key);
   const { expectedVersion, guard, deletedKeys = [] } = operation;
-  const deletes = deletedKeys.map((name) => ({ requestDeleteRange: { key: encode(name) } }));
+  const deletes = deletedKeys.map((name) => ({ requestDeleteRange: { key: encodeBase64(name) } }));
   return {
     compare: [
-      versionIs(key, expectedVersion),
-      ...(guard === undefined ? [] : [versionIs(encode(guard.key), guard.version)]),
+      versionEquals(key, expectedVersion),
+      ...(guard === undefined ? [] : [versionEquals(encodeBase64(guard.key), guard.version)]),
     ],
-    success: [{ requestPut: { key, value: encode(operation.value) } }, ...deletes],
+    success: [{ requestPut: { key, value: encodeBase64(operation.value) } }, ...deletes],
     failure: [{ requestRange: { key } }],
   };
 }
 
-function versionIs(key: string, version: number): unknown {
+function versionEquals(key: string, version: number): unknown {
   return { key, target: 'VERSION', result: 'EQUAL', version: String(version) };
 }
--- a/packages/platform/tests/platform-store.test.ts
+++ b/packages/platform/tests/platform-store.test.ts
@@ -30,27 +30,27 @@
   });
 }
 
-function swap(expectedVersion: number, value: string): StoreOperation {
+function compareAndSwap(expectedVersion: number, value: string): StoreOperation {
   return { kind: 'compare-and-swap', key: 'a', expectedVersion, value };
 }
 
 const readA: StoreOperation = { kind: 'read', key: 'a' };
 
 contract(
-  'writes only on the expected version, so that two writers cannot both win',
+  'a write succeeds only with the expected version, so that of two concurrent writers one fails',
   async ({ store }) => {
     assert.equal(await execute(store, readA), { kind: 'missing' });
-    assert.equal(await execute(store, swap(0, 'één')), { kind: 'written', version: 1 });
+    assert.equal(await execute(store, compareAndSwap(0, 'één')), { kind: 'written', version: 1 });
     const entry = { key: 'a', value: 'één', version: 1 };
-    assert.equal(await execute(store, swap(0, 'two')), { kind: 'conflict', entry });
-    assert.equal(await execute(store, swap(1, 'two')), { kind: 'written', version: 2 });
+    assert.equal(await execute(store, compareAndSwap(0, 'two')), { kind: 'conflict', entry });
+    assert.equal(await execute(store, compareAndSwap(1, 'two')), { kind: 'written', version: 2 });
     const newest = { key: 'a', value: 'two', version: 2 };
     assert.equal(await execute(store, readA), { kind: 'found', entry: newest });
   },
 );
 
 contract(
-  'deletes in the transaction of a write, so that a failed guard deletes nothing',
+  'keys are deleted in the transaction of a write, so that a failed guard deletes nothing',
   async ({ store }) => {
     const names = ['a/1', 'a/2', 'a/3', 'b'];
     for (const key of names) {
@@ -70,17 +70,20 @@
   },
 );
 
-contract('the largest batch stays within the limit on operations', async ({ store }) => {
-  const deletedKeys = Array.from({ length: maximumDeletedKeys }, (_, index) => `key-${index}`);
-  const write = { kind: 'compare-and-swap', key: 'c', expectedVersion: 0, value: '' } as const;
-  assert.is((await execute(store, { ...write, deletedKeys })).kind, 'written');
-  const tooMany = [...deletedKeys, ...deletedKeys];
-  const result = await execute(store, { ...write, expectedVersion: 1, deletedKeys: tooMany });
-  assert.is(result.kind, 'unknown');
-});
+contract(
+  'the maximum number of deleted keys stays within the limit on operations per transaction',
+  async ({ store }) => {
+    const deletedKeys = Array.from({ length: maximumDeletedKeys }, (_, index) => `key-${index}`);
+    const write = { kind: 'compare-and-swap', key: 'c', expectedVersion: 0, value: '' } as const;
+    assert.is((await execute(store, { ...write, deletedKeys })).kind, 'written');
+    const tooMany = [...deletedKeys, ...deletedKeys];
+    const result = await execute(store, { ...write, expectedVersion: 1, deletedKeys: tooMany });
+    assert.is(result.kind, 'unknown');
+  },
+);
 
-/** Result of a write during the fault, and whether it turns out to have taken effect. */
-const faultTable: readonly {
+/** Faults with the result of a write during the fault, and whether the write took effect. */
+const faultCases: readonly {
   readonly name: string;
   readonly fault: PlatformFault;
   readonly end: PlatformFault;
@@ -102,14 +105,14 @@
     tookEffect: true,
   },
   {
-    name: 'slow beyond the timeout, after the effect',
+    name: 'slow beyond the timeout, after the write took effect',
     fault: { kind: 'slow', milliseconds: 600, when: 'after-effect' },
     end: { kind: 'slow', milliseconds: 0 },
     result: 'unknown',
     tookEffect: true,
   },
   {
-    name: 'answer lost after the effect',
+    name: 'losing the response after the write took effect',
     fault: { kind: 'lose-answers', transactions: 1 },
     end: { kind: 'lose-answers', transactions: 0 },
     result: 'unknown',
@@ -117,50 +120,44 @@
   },
 ];
 
-for (const row of faultTable) {
+for (const row of faultCases) {
   contract(
-    `a write while the platform is ${row.name} never reports what it cannot know`,
+    `a write while the store is ${row.name} never reports an uncertain effect as certain`,
     async ({ standIn, store }) => {
       standIn.inject(row.fault);
-      assert.is((await execute(store, swap(0, 'one'))).kind, row.result);
-      assert.is(store.reachable, row.result !== 'unknown');
+      assert.is((await execute(store, compareAndSwap(0, 'one'))).kind, row.result);
+      assert.is(store.isResponding, row.result !== 'unknown');
       standIn.inject(row.end);
       assert.is((await execute(store, readA)).kind, row.tookEffect ? 'found' : 'missing');
-      assert.ok(store.reachable);
+      assert.ok(store.isResponding);
     },
   );
 }
 
-contract(
-  'a value over 1 MB is not stored, and the client does not claim that it was',
-  async ({ store }) => {
-    const result = await execute(store, swap(0, 'x'.repeat(1_000_001)));
-    assert.is(result.kind, 'unknown');
-    assert.equal(await execute(store, readA), { kind: 'missing' });
-  },
-);
+contract('a write of a value over 1 MB is not reported as written', async ({ store }) => {
+  const result = await execute(store, compareAndSwap(0, 'x'.repeat(1_000_001)));
+  assert.is(result.kind, 'unknown');
+  assert.equal(await execute(store, readA), { kind: 'missing' });
+});
 
-contract(
-  'waiters of one key share a stream, so that watches stay countable',
-  async ({ standIn, store }) => {
-    const waiting = [0, 0, 1].map((afterVersion) =>
-      execute(store, { kind: 'watch', key: 'a', afterVersion }),
-    );
-    await execute(store, swap(0, 'one'));
-    const first = await Promise.all(waiting.slice(0, 2));
-    assert.equal(
-      first.map((result) => result.kind),
-      ['found', 'found'],
-    );
-    await execute(store, swap(1, 'two'));
-    assert.is((await waiting[2])?.kind, 'found');
-    assert.is(standIn.callCounts['/v3/watch'], 1);
-    assert.is(store.counters.watches, 1);
-  },
-);
+contract('waiters for one key share a watch stream', async ({ standIn, store }) => {
+  const waiting = [0, 0, 1].map((afterVersion) =>
+    execute(store, { kind: 'watch', key: 'a', afterVersion }),
+  );
+  await execute(store, compareAndSwap(0, 'one'));
+  const first = await Promise.all(waiting.slice(0, 2));
+  assert.equal(
+    first.map((result) => result.kind),
+    ['found', 'found'],
+  );
+  await execute(store, compareAndSwap(1, 'two'));
+  assert.is((await waiting[2])?.kind, 'found');
+  assert.is(standIn.callCounts['/v3/watch'], 1);
+  assert.is(store.counters.watches, 1);
+});
 
 contract('a change made before the watch started is not missed', async ({ store }) => {
-  await execute(store, swap(0, 'one'));
+  await execute(store, compareAndSwap(0, 'one'));
   const result = await execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
   assert.is(result.kind, 'found');
 });
@@ -170,7 +167,7 @@
   { kind: 'down', active: true },
 ] satisfies PlatformFault[]) {
   contract(
-    `a watch ends with unknown on ${fault.kind}, so that its owner starts another`,
+    `a watch ends with unknown on ${fault.kind}, so that the caller can start another`,
     async ({ standIn, store }) => {
       const waiting = execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
       while (standIn.openWatches === 0) await new Promise((resolve) => setTimeout(resolve, 5));
@@ -181,31 +178,28 @@
 }
 
 contract(
-  'a stream that is open but silent does not hide a change for ever',
+  'a change is found although the watch stream is open but delivers nothing',
   async ({ standIn, store }) => {
     standIn.inject({ kind: 'mute-watches', active: true });
     const waiting = execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
-    await execute(store, swap(0, 'one'));
+    await execute(store, compareAndSwap(0, 'one'));
     assert.is((await waiting).kind, 'found');
   },
 );
 
-contract(
-  'closing delivers every waiting result, so that no owner waits for ever',
-  async ({ store }) => {
-    const waiting = execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
-    store.close();
-    assert.equal(await waiting, { kind: 'unknown' });
-    assert.equal(await execute(store, readA), { kind: 'unknown' });
-  },
-);
+contract('closing the client delivers a result to every pending operation', async ({ store }) => {
+  const waiting = execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
+  store.close();
+  assert.equal(await waiting, { kind: 'unknown' });
+  assert.equal(await execute(store, readA), { kind: 'unknown' });
+});
 
-contract('a watch that is not answered shows operators the outage', async ({ standIn, store }) => {
+contract('a watch without a response is counted as an outage', async ({ standIn, store }) => {
   await execute(store, readA);
   standIn.inject({ kind: 'down', active: true });
   const watched = await execute(store, { kind: 'watch', key: 'a', afterVersion: 0 });
   assert.equal(watched, { kind: 'unknown' });
-  assert.not.ok(store.reachable);
+  assert.not.ok(store.isResponding);
   assert.is(store.counters.unanswered, 1);
 });
 
--- a/packages/platform/tests/store-era.test.ts
+++ b/packages/platform/tests/store-era.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { StoreEra } from '../src/key-values/index.js';
+import { StoreEraTracker } from '../src/key-values/index.js';
 
-type Note = readonly [at: number, era: number | undefined, finding: string];
+type Observation = readonly [at: number, era: number | undefined, status: string];
 
-const cases: readonly (readonly [string, readonly Note[], number | undefined])[] = [
+const cases: readonly (readonly [string, readonly Observation[], number | undefined])[] = [
   [
-    'a store that tells no era',
+    'a store that reports no era',
     [
       [0, undefined, 'current'],
       [1, undefined, 'current'],
@@ -15,7 +15,7 @@
     undefined,
   ],
   [
-    'the first era is no return',
+    'the first era is not a restore',
     [
       [0, 7, 'current'],
       [1, 7, 'current'],
@@ -23,7 +23,7 @@
     7,
   ],
   [
-    'a higher era is a return',
+    'a higher era is a restore',
     [
       [0, 7, 'current'],
       [1, 8, 'restored'],
@@ -32,7 +32,7 @@
     8,
   ],
   [
-    'returns that nobody saw',
+    'several restores between two responses',
     [
       [0, 7, 'current'],
       [1, 11, 'restored'],
@@ -40,7 +40,7 @@
     11,
   ],
   [
-    'an old read after a return',
+    'a stale read after a restore',
     [
       [0, 7, 'current'],
       [1, 8, 'restored'],
@@ -49,7 +49,7 @@
     8,
   ],
   [
-    'an answer that lacks it',
+    'a response without an era',
     [
       [0, 7, 'current'],
       [1, undefined, 'current'],
@@ -58,7 +58,7 @@
     8,
   ],
   [
-    'old reads in between do not add up',
+    'stale reads between current responses do not accumulate',
     [
       [0, 8, 'current'],
       [1, 7, 'outdated'],
@@ -68,7 +68,7 @@
     8,
   ],
   [
-    'a count that began anew, or an era that was wrong, holds for ten seconds',
+    'a restarted count of eras, or one after an invalid era, is accepted after ten seconds',
     [
       [0, 900, 'current'],
       [1, 3, 'outdated'],
@@ -79,11 +79,12 @@
   ],
 ];
 
-for (const [name, notes, expected] of cases) {
+for (const [name, observations, expected] of cases) {
   test(name, () => {
-    const era = new StoreEra();
-    for (const [at, told, finding] of notes) assert.is(era.note(told, at), finding, `at ${at}`);
-    assert.is(era.current, expected);
+    const tracker = new StoreEraTracker();
+    for (const [at, reportedEra, status] of observations)
+      assert.is(tracker.observe(reportedEra, at), status, `at ${at}`);
+    assert.is(tracker.current, expected);
   });
 }
 
--- a/packages/platform/tests/store-session.test.ts
+++ b/packages/platform/tests/store-session.test.ts
@@ -11,45 +11,45 @@
   StoreTransport,
 } from '../src/key-values/index.js';
 
-type Answer = StoreOutcome<unknown> | 'silent';
+type FakeResponse = StoreOutcome<unknown> | 'silent';
 
-/** A store whose answers the test sets by the name of the call. */
+/** A store that responds by the name of the call and that the test can change. */
 class FakeStore implements StoreTransport {
   public readonly calls: string[] = [];
   public revision = 1;
   public configuration = 'first';
-  /** The entry of the node in the store; undefined if it is missing. */
+  /** The stored entry of the node; `undefined` if it is missing. */
   public entry: string | undefined;
-  public down: Answer | undefined;
-  /** Watches to answer that their history is gone. */
+  public outageResponse: FakeResponse | undefined;
+  /** Number of further watches that are answered with `compacted`. */
   public compactedWatches = 0;
-  private readonly watchers = new Set<() => void>();
+  private readonly pendingWatches = new Set<() => void>();
 
   public async execute<Value>(
     { name }: StoreCall<Value>,
     signal?: AbortSignal,
   ): Promise<StoreOutcome<Value>> {
     this.calls.push(name);
-    const answer = this.down ?? (await this.answer(name, signal));
-    if (answer !== 'silent') return answer as StoreOutcome<Value>;
+    const response = this.outageResponse ?? (await this.respond(name, signal));
+    if (response !== 'silent') return response as StoreOutcome<Value>;
     return new Promise((resolve) => {
       signal?.addEventListener('abort', () => {
-        resolve({ detail: 'given up', kind: 'unavailable' });
+        resolve({ detail: 'call aborted', kind: 'unavailable' });
       });
     });
   }
 
-  public change(configuration: string): void {
+  public changeConfiguration(configuration: string): void {
     this.configuration = configuration;
     this.revision += 1;
-    for (const wake of this.watchers) wake();
+    for (const wake of this.pendingWatches) wake();
   }
 
-  public count(name: string): number {
+  public countCalls(name: string): number {
     return this.calls.filter((call) => call === name).length;
   }
 
-  private async answer(name: string, signal?: AbortSignal): Promise<Answer> {
+  private async respond(name: string, signal?: AbortSignal): Promise<FakeResponse> {
     switch (name) {
       case 'write':
         this.entry = 'a';
@@ -66,20 +66,20 @@
       }
       case 'list-configuration':
       case 'list-configuration-old':
-        return { kind: 'ok', value: this.page([this.item()]) };
+        return { kind: 'ok', value: this.page([this.configurationItem()]) };
       case 'watch':
         if (this.compactedWatches > 0) {
           this.compactedWatches -= 1;
           return { kind: 'compacted' };
         }
         await new Promise<void>((resolve) => {
-          this.watchers.add(resolve);
+          this.pendingWatches.add(resolve);
           signal?.addEventListener('abort', () => {
             resolve();
           });
         });
-        if (signal?.aborted === true) return { detail: 'aborted', kind: 'unavailable' };
-        return { kind: 'ok', value: this.page([this.item()]) };
+        if (signal?.aborted === true) return { detail: 'watch aborted', kind: 'unavailable' };
+        return { kind: 'ok', value: this.page([this.configurationItem()]) };
       default:
         return { kind: 'ok', value: undefined };
     }
@@ -90,7 +90,7 @@
     return [{ key: 'nodes/a', revision: 1, value: bytes(this.entry) }];
   }
 
-  private item(): StoredItem {
+  private configurationItem(): StoredItem {
     return { key: 'config', revision: this.revision, value: bytes(this.configuration) };
   }
 
@@ -125,76 +125,79 @@
   write: () => call('write'),
 };
 
-interface Seen {
+interface RecordedEvents {
   readonly configurations: string[];
-  readonly nodes: string[];
+  readonly entryKeys: string[];
   readonly reachability: boolean[];
   readonly eras: string[];
-  reads: number;
+  directoryReads: number;
 }
 
 async function withSession(
-  run: (store: FakeStore, seen: Seen, session: StoreSession) => Promise<void>,
+  runTest: (store: FakeStore, recorded: RecordedEvents, session: StoreSession) => Promise<void>,
   isWatching = true,
   store = new FakeStore(),
 ): Promise<void> {
-  const seen: Seen = {
+  const recorded: RecordedEvents = {
     configurations: [],
     eras: [],
-    nodes: [],
+    entryKeys: [],
     reachability: [],
-    reads: 0,
+    directoryReads: 0,
   };
   const session = new StoreSession({
     clock: () => performance.now(),
     codec,
-    configurationRead: (content) => seen.configurations.push(Buffer.from(content).toString()),
+    onConfigurationRead: (content) => recorded.configurations.push(Buffer.from(content).toString()),
     directoryPrefix: 'nodes/',
-    directoryRead: () => (seen.reads += 1),
+    onDirectoryRead: () => (recorded.directoryReads += 1),
     entry: bytes('a'),
     isEntryCurrent: (stored) => Buffer.from(stored).toString() === 'a',
-    entryRead: ({ key }) => seen.nodes.push(key),
-    eraSeen: (era, isRestored) => seen.eras.push(`${era}${isRestored ? ' restored' : ''}`),
+    onEntryRead: ({ key }) => recorded.entryKeys.push(key),
+    onEraObserved: (era, isRestored) =>
+      recorded.eras.push(`${era}${isRestored ? ' restored' : ''}`),
     nodeName: 'a',
     random: () => 0,
-    reachabilityChanged: (isReachable) => seen.reachability.push(isReachable),
+    onReachabilityChange: (isReachable) => recorded.reachability.push(isReachable),
     transport: store,
   });
   session.start();
-  session.watchConfiguration(isWatching);
+  session.setConfigurationWatching(isWatching);
   try {
-    await run(store, seen, session);
+    await runTest(store, recorded, session);
   } finally {
     session.close();
   }
 }
 
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   const limit = Date.now() + 8_000;
   while (!condition()) {
-    if (Date.now() > limit) throw new Error('the condition did not come true in 8 s');
+    if (Date.now() > limit) throw new Error('condition not met within 8 s');
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
 }
 
-test('a first start reads the others, writes the entry, and reads again for those that start with it', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => seen.reads === 2 && seen.configurations.length === 1);
-    assert.equal([...new Set(seen.nodes)].sort(), ['nodes/a', 'nodes/b']);
-    assert.is(store.count('write'), 1);
+test('a first start reads the directory, writes the entry, and reads again to find nodes that start concurrently', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => recorded.directoryReads === 2 && recorded.configurations.length === 1);
+    assert.equal([...new Set(recorded.entryKeys)].sort(), ['nodes/a', 'nodes/b']);
+    assert.is(store.countCalls('write'), 1);
     assert.ok(store.calls.indexOf('list-nodes-old') < store.calls.indexOf('write'));
   }, false);
 });
 
-// Calls that a node of the large deployment paid for at its start were 5 of each 5.4.
-test('a first start pays for one call, a restart for none; reads that may be old cost a tenth', async () => {
-  const paid = ({ calls }: FakeStore): readonly string[] =>
+// In the large deployment, 5 of the 5.4 calls that a node paid for were made at its start. Stale reads cost a tenth.
+test('a first start makes one call at full price, a restart none', async () => {
+  const fullPriceCalls = ({ calls }: FakeStore): readonly string[] =>
     calls.filter((name) => !name.endsWith('-old'));
   const store = new FakeStore();
   const start = async (reads: number, milliseconds: number): Promise<void> => {
     await withSession(
-      async (_store, seen) => {
-        await until(() => seen.reads === reads && seen.configurations.length === 1);
+      async (_store, recorded) => {
+        await waitUntil(
+          () => recorded.directoryReads === reads && recorded.configurations.length === 1,
+        );
         await new Promise((resolve) => setTimeout(resolve, milliseconds));
       },
       false,
@@ -202,46 +205,46 @@
     );
   };
   await start(3, 0);
-  assert.equal(paid(store), ['write']);
+  assert.equal(fullPriceCalls(store), ['write']);
   assert.is(store.calls.length, 5);
   store.calls.length = 0;
   await start(1, 2_000);
   assert.equal(store.calls, ['list-nodes-old', 'list-configuration-old']);
 });
 
-test('an entry that leads elsewhere is written anew', async () => {
+test('an entry with another address is overwritten', async () => {
   const store = new FakeStore();
   store.entry = 'a at another address';
   await withSession(
     async () => {
-      await until(() => store.entry === 'a');
+      await waitUntil(() => store.entry === 'a');
     },
     false,
     store,
   );
 });
 
-test('a node whose server left removes its entry', async () => {
+test('a node that leaves removes its entry', async () => {
   await withSession(async (store, _seen, session) => {
-    await until(() => store.entry === 'a');
+    await waitUntil(() => store.entry === 'a');
     await session.leave();
     assert.is(store.entry, undefined);
   }, false);
 });
 
-test('the entry of a node that ended is removed only if it is as expected', async () => {
+test('an entry is removed only if it is the expected one', async () => {
   await withSession(async (store, _seen, session) => {
-    await until(() => store.entry === 'a');
+    await waitUntil(() => store.entry === 'a');
     await session.removeEntry('a', () => false);
-    assert.is(store.count('remove'), 0);
+    assert.is(store.countCalls('remove'), 0);
     await session.removeEntry('a', () => true);
-    assert.is(store.count('remove'), 1);
+    assert.is(store.countCalls('remove'), 1);
   }, false);
 });
 
-test('in a steady state there is one watch that waits, and no polling', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => seen.reads === 1 && store.count('watch') === 1);
+test('in steady state one watch is pending and nothing is polled', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => recorded.directoryReads === 1 && store.countCalls('watch') === 1);
     await new Promise((resolve) => setTimeout(resolve, 500));
     assert.equal([...store.calls].sort(), [
       'list-configuration-old',
@@ -252,116 +255,120 @@
   });
 });
 
-test('a change reaches the node through its watch', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => store.count('watch') === 1);
-    store.change('second');
-    await until(() => seen.configurations.includes('second'));
-    await until(() => store.count('watch') === 2);
+test('a watching node receives a change of the configuration', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => store.countCalls('watch') === 1);
+    store.changeConfiguration('second');
+    await waitUntil(() => recorded.configurations.includes('second'));
+    await waitUntil(() => store.countCalls('watch') === 2);
   });
 });
 
-// A watch of each node cost a call for each node and change of the configuration.
-test('a node that others tell of changes reads the configuration once and does not watch', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => seen.reads === 1 && seen.configurations.length === 1);
-    store.change('second');
+// If every node watched the configuration, each change would cost one call per node.
+test('a node that does not watch reads the configuration once', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => recorded.directoryReads === 1 && recorded.configurations.length === 1);
+    store.changeConfiguration('second');
     await new Promise((resolve) => setTimeout(resolve, 300));
-    assert.is(store.count('list-configuration-old'), 1);
-    assert.is(store.count('watch'), 0);
+    assert.is(store.countCalls('list-configuration-old'), 1);
+    assert.is(store.countCalls('watch'), 0);
   }, false);
 });
 
-test('a node that takes over the watch reads what it missed, and leaves off when it is told so', async () => {
-  await withSession(async (store, seen, session) => {
-    await until(() => seen.configurations.length === 1);
-    store.change('second');
-    session.watchConfiguration(true);
-    await until(() => seen.configurations.includes('second') && store.count('watch') === 1);
-    session.watchConfiguration(false);
-    store.change('third');
+test('a node that starts watching reads missed changes, and stops watching on request', async () => {
+  await withSession(async (store, recorded, session) => {
+    await waitUntil(() => recorded.configurations.length === 1);
+    store.changeConfiguration('second');
+    session.setConfigurationWatching(true);
+    await waitUntil(
+      () => recorded.configurations.includes('second') && store.countCalls('watch') === 1,
+    );
+    session.setConfigurationWatching(false);
+    store.changeConfiguration('third');
     await new Promise((resolve) => setTimeout(resolve, 300));
-    assert.is(store.count('watch'), 1);
-    assert.not(seen.configurations.includes('third'));
-    session.watchConfiguration(true);
-    await until(() => seen.configurations.includes('third') && store.count('watch') === 2);
+    assert.is(store.countCalls('watch'), 1);
+    assert.not(recorded.configurations.includes('third'));
+    session.setConfigurationWatching(true);
+    await waitUntil(
+      () => recorded.configurations.includes('third') && store.countCalls('watch') === 2,
+    );
   }, false);
 });
 
-test('a node that watches writes an entry again that was removed, within three checks of the store', async () => {
+test('a watching node writes its entry again within three checks of the store after it was removed', async () => {
   await withSession(async (store) => {
-    await until(() => store.entry === 'a');
+    await waitUntil(() => store.entry === 'a');
     store.entry = undefined;
-    await until(() => store.count('write') === 2);
+    await waitUntil(() => store.countCalls('write') === 2);
   });
 });
 
-test('after an outage the configuration is read anew: a watch may have missed changes', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => store.count('watch') === 1);
-    store.down = { detail: 'status 503', kind: 'unavailable' };
-    await until(() => seen.reachability.includes(false));
+test('the configuration is read again after an outage, since a watch may have missed changes', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => store.countCalls('watch') === 1);
+    store.outageResponse = { detail: 'status 503', kind: 'unavailable' };
+    await waitUntil(() => recorded.reachability.includes(false));
     store.configuration = 'changed meanwhile';
-    store.down = undefined;
-    await until(() => seen.configurations.includes('changed meanwhile'));
-    assert.equal(seen.reachability, [false, true]);
+    store.outageResponse = undefined;
+    await waitUntil(() => recorded.configurations.includes('changed meanwhile'));
+    assert.equal(recorded.reachability, [false, true]);
   });
 });
 
-// Calls that are refused are billed too, so an outage must not be tried with exact reads.
-test('an outage is tried with reads that may be old; one exact read comes before the next watch', async () => {
-  await withSession(async (store, seen) => {
-    await until(() => store.count('watch') === 1);
-    store.down = { detail: 'status 503', kind: 'unavailable' };
-    store.change('second');
-    await until(() => seen.reachability.includes(false));
-    await until(() => store.count('list-configuration-old') >= 4);
-    assert.is(store.count('list-configuration'), 0);
-    store.down = undefined;
-    const refused = store.count('watch');
-    await until(() => store.count('watch') > refused);
-    assert.is(store.count('list-configuration'), 1);
+// Rejected calls are billed as well, so an unreachable store must not be probed with up-to-date reads.
+test('an outage is probed with stale reads; one up-to-date read precedes the next watch', async () => {
+  await withSession(async (store, recorded) => {
+    await waitUntil(() => store.countCalls('watch') === 1);
+    store.outageResponse = { detail: 'status 503', kind: 'unavailable' };
+    store.changeConfiguration('second');
+    await waitUntil(() => recorded.reachability.includes(false));
+    await waitUntil(() => store.countCalls('list-configuration-old') >= 4);
+    assert.is(store.countCalls('list-configuration'), 0);
+    store.outageResponse = undefined;
+    const watchesDuringOutage = store.countCalls('watch');
+    await waitUntil(() => store.countCalls('watch') > watchesDuringOutage);
+    assert.is(store.countCalls('list-configuration'), 1);
     assert.ok(store.calls.lastIndexOf('watch') > store.calls.lastIndexOf('list-configuration'));
   });
 });
 
-test('a node that does not watch is content with an old read, also after an outage at its start', async () => {
+test('a node that does not watch makes only stale reads, even after an outage at its start', async () => {
   const store = new FakeStore();
-  store.down = { detail: 'connection refused', kind: 'unavailable' };
+  store.outageResponse = { detail: 'connection refused', kind: 'unavailable' };
   await withSession(
-    async (_store, seen) => {
-      await until(() => store.count('list-configuration-old') >= 3);
-      store.down = undefined;
-      await until(() => seen.configurations.length === 1);
-      assert.is(store.count('list-configuration'), 0);
+    async (_store, recorded) => {
+      await waitUntil(() => store.countCalls('list-configuration-old') >= 3);
+      store.outageResponse = undefined;
+      await waitUntil(() => recorded.configurations.length === 1);
+      assert.is(store.countCalls('list-configuration'), 0);
     },
     false,
     store,
   );
 });
 
-test('after the store forgot its history the read is exact, since an old one may be forgotten too', async () => {
+test('a read after a compaction is up to date, since the revision of a stale read may be compacted too', async () => {
   const store = new FakeStore();
   store.compactedWatches = 1;
   await withSession(
     async () => {
-      await until(() => store.count('watch') === 2);
-      assert.is(store.count('list-configuration'), 1);
+      await waitUntil(() => store.countCalls('watch') === 2);
+      assert.is(store.countCalls('list-configuration'), 1);
     },
     true,
     store,
   );
 });
 
-test('a node that starts while the store is away registers when it is back', async () => {
+test('a node that starts while the store is unreachable registers after the outage', async () => {
   const store = new FakeStore();
-  store.down = { detail: 'connection refused', kind: 'unavailable' };
+  store.outageResponse = { detail: 'connection refused', kind: 'unavailable' };
   await withSession(
-    async (_store, seen) => {
-      await until(() => store.count('list-nodes-old') >= 3);
-      assert.is(seen.reads, 0);
-      store.down = undefined;
-      await until(() => seen.reads === 1 && store.entry === 'a');
+    async (_store, recorded) => {
+      await waitUntil(() => store.countCalls('list-nodes-old') >= 3);
+      assert.is(recorded.directoryReads, 0);
+      store.outageResponse = undefined;
+      await waitUntil(() => recorded.directoryReads === 1 && store.entry === 'a');
     },
     true,
     store,
--- a/packages/upstreams/src/announcement-schema.ts
+++ b/packages/upstreams/src/announcement-schema.ts
@@ -7,12 +7,12 @@
 const servicePattern = /^[a-z][a-z0-9-]{0,62}$/;
 const addressPattern = /^(?:[A-Za-z0-9.-]+|\[[0-9A-Fa-f:.]+\]):(\d{1,5})$/;
 
-function count(maximum: number): z.ZodNumber {
+function positiveIntegerUpTo(maximum: number): z.ZodNumber {
   const message = `expected an integer from 1 to ${maximum}`;
   return z.number({ error: message }).int(message).min(1, message).max(maximum, message);
 }
 
-function isAddress(text: string): boolean {
+function isHostAndPort(text: string): boolean {
   const port = Number(addressPattern.exec(text)?.[1] ?? 0);
   return port >= 1 && port <= 65_535;
 }
@@ -22,25 +22,25 @@
 const addressMessage = 'expected host:port with a port from 1 to 65535';
 
 const announcementSchema = z.strictObject({
-  address: z.string({ error: addressMessage }).refine(isAddress, addressMessage),
-  connections: count(maximumConnections),
+  address: z.string({ error: addressMessage }).refine(isHostAndPort, addressMessage),
+  connections: positiveIntegerUpTo(maximumConnections),
   service: z.string({ error: serviceMessage }).regex(servicePattern, serviceMessage),
-  slots: count(maximumSlots),
+  slots: positiveIntegerUpTo(maximumSlots),
 });
 
-/** A field of an announcement that can't be accepted. */
+/** A rejected field of an announcement. */
 export interface FieldError {
   readonly field: string;
-  /** Names the accepted values. */
+  /** States which values are accepted. */
   readonly message: string;
 }
 
-/** The result of reading an announcement. */
+/** The result of validating an announcement. */
 export type ParsedAnnouncement =
   | { readonly kind: 'valid'; readonly announcement: UpstreamAnnouncement }
   | { readonly kind: 'invalid'; readonly errors: readonly FieldError[] };
 
-/** Checks every field of an announcement and tells all faults at once. */
+/** Validates an announcement and reports the errors of all its fields together. */
 export function parseAnnouncement(content: unknown): ParsedAnnouncement {
   const parsed = announcementSchema.safeParse(content);
   if (parsed.success) return { announcement: parsed.data, kind: 'valid' };
--- a/packages/upstreams/src/announcement-server.ts
+++ b/packages/upstreams/src/announcement-server.ts
@@ -11,27 +11,27 @@
 import { parseAnnouncement } from './announcement-schema.js';
 import type { FieldError } from './announcement-schema.js';
 
-/** What an upstream tells the node through the announcement port. */
+/** A message that the upstream sent to the node through the announcement port. */
 export type AnnouncementMessage =
   UpstreamAnnouncedMessage | UpstreamDrainMessage | UpstreamLeftMessage;
 
 const maximumBodyBytes = 16_384;
 const requestTimeoutMilliseconds = 5_000;
-const paths: readonly string[] = ['/announce', '/drain', '/restore', '/leave'];
+const announcementPaths: readonly string[] = ['/announce', '/drain', '/restore', '/leave'];
 
-interface Answer {
+interface AnnouncementResponse {
   readonly status: number;
   readonly errors: readonly FieldError[];
 }
 
-const accepted: Answer = { errors: [], status: 200 };
+const acceptedResponse: AnnouncementResponse = { errors: [], status: 200 };
 
-function bodyError(status: number, message: string): Answer {
+function bodyErrorResponse(status: number, message: string): AnnouncementResponse {
   return { errors: [{ field: 'body', message }], status };
 }
 
-/** Resolves to undefined if the body is longer than the limit. */
-async function readText(request: IncomingMessage): Promise<string | undefined> {
+/** Resolves to `undefined` if the body is longer than `maximumBodyBytes`. */
+async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of request) {
@@ -42,19 +42,19 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** HTTP port on which the upstream beside the node announces itself, drains, restores and leaves. */
+/** HTTP server for the upstream beside the node: it announces itself, drains, restores and leaves here. */
 export class AnnouncementServer {
   private readonly server: Server;
 
-  public constructor(private readonly report: (message: AnnouncementMessage) => void) {
+  public constructor(private readonly onMessage: (message: AnnouncementMessage) => void) {
     this.server = createServer((request, response) => {
-      // A request that was cut gets no answer; the upstream repeats it.
-      this.handle(request, response).catch(() => response.destroy());
+      // A request that was aborted midway gets no response; the upstream sends it again.
+      this.handleRequest(request, response).catch(() => response.destroy());
     });
     this.server.requestTimeout = requestTimeoutMilliseconds;
   }
 
-  /** Listens and returns the port; 0 stands for any free one. */
+  /** Starts listening and resolves to the port in use; port 0 selects any free port. */
   public async listen(port: number, host: string): Promise<number> {
     this.server.listen(port, host);
     await once(this.server, 'listening');
@@ -69,46 +69,46 @@
     });
   }
 
-  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { status, errors } = await this.answer(request);
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    const { status, errors } = await this.processRequest(request);
     if (status === 405) response.setHeader('allow', 'POST');
     if (status === 413) response.setHeader('connection', 'close');
     response.writeHead(status, { 'content-type': 'application/json' });
     response.end(`${JSON.stringify(errors.length === 0 ? { accepted: true } : { errors })}\n`);
   }
 
-  private async answer(request: IncomingMessage): Promise<Answer> {
+  private async processRequest(request: IncomingMessage): Promise<AnnouncementResponse> {
     const path = request.url ?? '/';
-    if (!paths.includes(path)) {
-      const message = `unknown path; expected one of ${paths.join(', ')}`;
+    if (!announcementPaths.includes(path)) {
+      const message = `unknown path; expected one of ${announcementPaths.join(', ')}`;
       return { errors: [{ field: 'path', message }], status: 404 };
     }
     if (request.method !== 'POST') {
       return { errors: [{ field: 'method', message: 'expected POST' }], status: 405 };
     }
-    const text = await readText(request);
+    const text = await readBody(request);
     if (text === undefined) {
-      return bodyError(413, `expected at most ${maximumBodyBytes} bytes`);
+      return bodyErrorResponse(413, `expected at most ${maximumBodyBytes} bytes`);
     }
-    return path === '/announce' ? this.announce(text) : this.change(path);
+    return path === '/announce' ? this.handleAnnouncement(text) : this.handleStateChange(path);
   }
 
-  private announce(text: string): Answer {
+  private handleAnnouncement(text: string): AnnouncementResponse {
     let content: unknown;
     try {
       content = JSON.parse(text);
     } catch {
-      return bodyError(400, 'expected a JSON object');
+      return bodyErrorResponse(400, 'expected a JSON object');
     }
     const parsed = parseAnnouncement(content);
     if (parsed.kind === 'invalid') return { errors: parsed.errors, status: 400 };
-    this.report({ announcement: parsed.announcement, kind: 'upstream-announced' });
-    return accepted;
+    this.onMessage({ announcement: parsed.announcement, kind: 'upstream-announced' });
+    return acceptedResponse;
   }
 
-  private change(path: string): Answer {
-    if (path === '/leave') this.report({ kind: 'upstream-left' });
-    else this.report({ draining: path === '/drain', kind: 'upstream-drain' });
-    return accepted;
+  private handleStateChange(path: string): AnnouncementResponse {
+    if (path === '/leave') this.onMessage({ kind: 'upstream-left' });
+    else this.onMessage({ draining: path === '/drain', kind: 'upstream-drain' });
+    return acceptedResponse;
   }
 }
--- a/packages/upstreams/src/header-fields.ts
+++ b/packages/upstreams/src/header-fields.ts
@@ -5,10 +5,10 @@
 
 const methodsWithoutBody: ReadonlySet<string> = new Set(['DELETE', 'GET', 'HEAD', 'OPTIONS']);
 
-/** Length of a request's body: known, sent in chunks, or as the caller's `Content-Length` says. */
+/** Length of a request body in bytes, or `streamed`: the caller's `Content-Length` applies, or chunked encoding. */
 export type BodyLength = number | 'streamed';
 
-/** Fields of a request to the upstream. The depth counts the hop to the upstream. */
+/** Header fields of a request to the upstream. The depth is incremented for the hop to the upstream. */
 export function upstreamRequestFields(
   head: RequestHead,
   remainingMilliseconds: number,
@@ -32,7 +32,7 @@
   return outgoing;
 }
 
-/** Fields of an answer that are passed on. */
-export function upstreamAnswerFields(headers: IncomingHttpHeaders): HeaderFields {
+/** Header fields of an upstream response that are forwarded to the caller. */
+export function upstreamResponseFields(headers: IncomingHttpHeaders): HeaderFields {
   return endToEndFields(headers);
 }
--- a/packages/upstreams/src/mesh/answer-memory.ts
+++ b/packages/upstreams/src/mesh/answer-memory.ts
@@ -1,48 +1,48 @@
-/** An answer of which a part has been read. */
-export interface PartialAnswer {
-  readonly heldBytes: number;
-  /** Throws away what was read and closes the connection. */
-  giveUp(): void;
+/** A response whose body is being read into memory. */
+export interface BufferedResponse {
+  readonly bufferedBytes: number;
+  /** Discards the buffered part and closes the connection. */
+  abort(): void;
 }
 
 /**
- * Bounds what all answers that are being read hold together, since each may go on without end. When the bound is
- * exceeded, the answer that holds most is given up: ordinary answers are small, and so they are the last to fail.
+ * Limits the total memory of all responses that are being read, since any of them may be endless. While the limit
+ * is exceeded, the largest response is aborted: ordinary responses are small, so they are the last to fail.
  */
-export class AnswerMemory {
-  private readonly answers = new Set<PartialAnswer>();
+export class ResponseMemoryLimiter {
+  private readonly responses = new Set<BufferedResponse>();
 
   public constructor(private readonly limitBytes: number) {}
 
-  public opened(answer: PartialAnswer): void {
-    this.answers.add(answer);
+  public track(response: BufferedResponse): void {
+    this.responses.add(response);
   }
 
-  /** The answer was read to its end or given up. */
-  public closed(answer: PartialAnswer): void {
-    this.answers.delete(answer);
+  /** Stops counting a response that was read completely or aborted. */
+  public untrack(response: BufferedResponse): void {
+    this.responses.delete(response);
   }
 
-  /** An answer has grown. */
-  public grown(): void {
-    while (this.heldBytes() > this.limitBytes) {
-      const largest = this.largest();
+  /** To be called whenever a response has buffered more bytes. */
+  public enforceLimit(): void {
+    while (this.totalBufferedBytes() > this.limitBytes) {
+      const largest = this.findLargest();
       if (largest === undefined) return;
-      this.answers.delete(largest);
-      largest.giveUp();
+      this.responses.delete(largest);
+      largest.abort();
     }
   }
 
-  private heldBytes(): number {
+  private totalBufferedBytes(): number {
     let bytes = 0;
-    for (const { heldBytes } of this.answers) bytes += heldBytes;
+    for (const { bufferedBytes } of this.responses) bytes += bufferedBytes;
     return bytes;
   }
 
-  private largest(): PartialAnswer | undefined {
-    let largest: PartialAnswer | undefined;
-    for (const answer of this.answers) {
-      if (answer.heldBytes > (largest?.heldBytes ?? -1)) largest = answer;
+  private findLargest(): BufferedResponse | undefined {
+    let largest: BufferedResponse | undefined;
+    for (const response of this.responses) {
+      if (response.bufferedBytes > (largest?.bufferedBytes ?? -1)) largest = response;
     }
     return largest;
   }
--- a/packages/upstreams/src/mesh/readiness-server.ts
+++ b/packages/upstreams/src/mesh/readiness-server.ts
@@ -2,23 +2,24 @@
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 
-import { requestBounds } from './request-bounds.js';
+import { requestTimeouts } from './request-timeouts.js';
 
+/** The response for a page. */
 export interface PageContent {
   readonly status: number;
   readonly text: string;
 }
 
-/** A page that is served by path. */
+/** A plain-text page that is served at a fixed path. */
 export interface TextPage {
   readonly path: string;
-  /** Status and text of the page at this moment. */
+  /** Called for each request; returns the current content. */
   readonly render: () => PageContent | Promise<PageContent>;
 }
 
 const notFound: PageContent = { status: 404, text: 'not found\n' };
 
-/** Serves the pages by which the platform watches the process. */
+/** Serves the pages that the platform polls to monitor this process, such as its readiness. */
 export class ReadinessServer {
   private readonly server: Server;
 
@@ -27,7 +28,7 @@
     private readonly bindPort: number,
     pages: readonly TextPage[],
   ) {
-    this.server = createServer(requestBounds, (request, response) => {
+    this.server = createServer(requestTimeouts, (request, response) => {
       const path = (request.url ?? '/').split('?')[0];
       const page = pages.find((candidate) => candidate.path === path);
       request.resume();
--- a/packages/upstreams/src/mesh/report-server.ts
+++ b/packages/upstreams/src/mesh/report-server.ts
@@ -4,17 +4,17 @@
 
 import type { ServerReport } from '@peridotspring/mesh-core';
 
-import { requestBounds } from './request-bounds.js';
+import { requestTimeouts } from './request-timeouts.js';
 
 const maximumBodyBytes = 16_384;
 
-/** What a server told, or why it can't be read. */
+/** A message of the server beside the node, or why the request was rejected. */
 export type ServerMessage =
   | { readonly kind: 'report'; readonly report: ServerReport }
   | { readonly kind: 'leave'; readonly instanceId: string }
   | { readonly kind: 'invalid'; readonly status: number; readonly message: string };
 
-/** Form of the calls by which a server tells of itself. */
+/** Parses the HTTP requests with which a server reports its state. */
 export interface ServerMessageCodec {
   parse(method: string, path: string, body: string): ServerMessage;
 }
@@ -23,18 +23,18 @@
   readonly bindHost: string;
   readonly bindPort: number;
   readonly codec: ServerMessageCodec;
-  /** Waited for before the answer is sent, so that an answer confirms what was done. */
-  readonly deliver: (message: ServerMessage) => Promise<void>;
+  /** Awaited before the response is sent, so that the response confirms that the message was processed. */
+  readonly onMessage: (message: ServerMessage) => Promise<void>;
 }
 
-/** The port on which the server beside the node tells of itself. */
+/** HTTP server on which the server beside the node reports its state and leaves. */
 export class ReportServer {
   private readonly server: Server;
 
   public constructor(private readonly options: ReportServerOptions) {
-    this.server = createServer(requestBounds, (request, response) => {
-      // A request that was cut gets no answer; the server repeats it.
-      this.handle(request, response).catch(() => response.destroy());
+    this.server = createServer(requestTimeouts, (request, response) => {
+      // A request that was aborted midway gets no response; the server sends it again.
+      this.handleRequest(request, response).catch(() => response.destroy());
     });
   }
 
@@ -50,7 +50,7 @@
     });
   }
 
-  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { socket } = request;
     const chunks: Buffer[] = [];
     let bytes = 0;
@@ -61,16 +61,20 @@
     }
     const message: ServerMessage =
       bytes > maximumBodyBytes
-        ? { kind: 'invalid', message: `body longer than ${maximumBodyBytes} bytes`, status: 413 }
+        ? {
+            kind: 'invalid',
+            message: `request body exceeds the limit of ${maximumBodyBytes} bytes`,
+            status: 413,
+          }
         : this.options.codec.parse(
             request.method ?? '',
             request.url ?? '/',
             Buffer.concat(chunks).toString('utf8'),
           );
-    await this.options.deliver(message);
+    await this.options.onMessage(message);
     const isInvalid = message.kind === 'invalid';
     response.writeHead(isInvalid ? message.status : 200, { 'content-type': 'application/json' });
-    // The rest of a body that is too long may have no end.
+    // The rest of an oversized body may be endless, so the connection is closed.
     if (bytes > maximumBodyBytes) response.once('finish', () => socket.destroy());
     response.end(isInvalid ? JSON.stringify({ error: message.message }) : '{}');
   }
--- a/packages/upstreams/src/mesh/server-client.ts
+++ b/packages/upstreams/src/mesh/server-client.ts
@@ -10,33 +10,33 @@
 } from '@peridotspring/mesh-core';
 import type { Execution, ExecutionResult, HeaderList, ServerLoad } from '@peridotspring/mesh-core';
 
-import { AnswerCollector } from '../answer-collector.js';
-import type { CollectedAnswer } from '../answer-collector.js';
-import { AnswerMemory } from './answer-memory.js';
+import { ResponseCollector } from '../response-collector.js';
+import type { CollectedResponse } from '../response-collector.js';
+import { ResponseMemoryLimiter } from './answer-memory.js';
 import { ServerAgent } from './server-agent.js';
 
-/** For a health check and the whole of its answer. */
+/** Limit for a whole health check, including the response body. */
 const healthTimeoutMilliseconds = 1_000;
-/** A health answer tells by its status and its fields; a body of more than this is no health answer. */
-const maximumHealthBytes = 16_384;
+/** A health check uses the status and header fields only; a larger body fails the check. */
+const maximumHealthBodyBytes = 16_384;
 
-/** Names and forms of the header fields between the gate and its server; names in lower case. */
+/** Names (in lower case) and encoding of the header fields between the gate and its server. */
 export interface ServerHeaderCodec {
   readonly requestId: string;
   readonly deadline: string;
   readonly expectedInstance: string;
   readonly callerService: string;
-  /** Marks an answer as the server's own. */
+  /** Present on every response that the server itself produced. */
   readonly signature: string;
-  /** Says that the server did not run the request. */
+  /** Present on responses to requests that the server did not execute. */
   readonly notExecuted: string;
   readonly instanceId: string;
   readonly load: string;
   parseLoad(value: string): ServerLoad | undefined;
 }
 
-/** Who answered a health check, and whether it takes requests. */
-export interface HealthAnswer {
+/** The result of a health check: which server responded, and whether it accepts requests. */
+export interface HealthCheckResult {
   readonly instanceId: string | undefined;
   readonly isReady: boolean;
   readonly load: ServerLoad | undefined;
@@ -45,30 +45,30 @@
 export interface ServerClientOptions {
   readonly host: string;
   readonly port: number;
-  /** Bound on what all answers that are being read hold together, and so on each. */
-  readonly answerMemoryBytes: number;
+  /** Limit on the total size of all responses that are being read, and thereby on each one. */
+  readonly responseMemoryBytes: number;
   readonly codec: ServerHeaderCodec;
   readonly clock: () => number;
-  readonly concluded: (executionId: number, result: ExecutionResult) => void;
-  readonly load: (load: ServerLoad) => void;
-  /** Another server than the expected one answered. */
-  readonly otherInstance: (instanceId: string) => void;
+  readonly onResult: (executionId: number, result: ExecutionResult) => void;
+  readonly onLoadReport: (load: ServerLoad) => void;
+  /** Called when a server other than the expected one responded (status 421). */
+  readonly onUnexpectedInstance: (instanceId: string) => void;
 }
 
-/** HTTP client to the server beside the node. */
+/** HTTP client for the server beside the node. */
 export class ServerClient {
   private readonly agent: ServerAgent;
-  private readonly requests = new Map<number, ClientRequest>();
-  private readonly droppedFields: ReadonlySet<string>;
-  private readonly memory: AnswerMemory;
+  private readonly activeRequests = new Map<number, ClientRequest>();
+  private readonly strippedFields: ReadonlySet<string>;
+  private readonly responseMemory: ResponseMemoryLimiter;
 
   public constructor(private readonly options: ServerClientOptions) {
     this.agent = new ServerAgent(options.clock);
-    this.memory = new AnswerMemory(options.answerMemoryBytes);
-    this.droppedFields = new Set([options.codec.load, options.codec.instanceId]);
+    this.responseMemory = new ResponseMemoryLimiter(options.responseMemoryBytes);
+    this.strippedFields = new Set([options.codec.load, options.codec.instanceId]);
   }
 
-  /** Sends a request; exactly one result follows. */
+  /** Sends a request; `onResult` is called exactly once for it. */
   public run(execution: Execution): void {
     const { executionId, frame } = execution;
     const { host, port } = this.options;
@@ -84,10 +84,10 @@
         setHost: false,
       });
     } catch (error) {
-      // Node.js rejects methods, paths and fields that can't be written as HTTP.
-      const detail = `the request can't be written: ${String(error)}`;
+      // Node.js throws on methods, paths and header fields that are invalid in HTTP.
+      const detail = `request is not valid HTTP: ${String(error)}`;
       process.nextTick(() => {
-        this.options.concluded(executionId, {
+        this.options.onResult(executionId, {
           detail,
           kind: 'not-run',
           reason: DeclineReason.ServerRefused,
@@ -95,43 +95,46 @@
       });
       return;
     }
-    this.requests.set(executionId, request);
-    this.listen(request, execution);
+    this.activeRequests.set(executionId, request);
+    this.attachListeners(request, execution);
     request.end(frame.body);
   }
 
   public abort(executionId: number): void {
-    const request = this.requests.get(executionId);
+    const request = this.activeRequests.get(executionId);
     if (request === undefined) return;
-    if (request.reusedSocket) this.agent.dropIdle();
+    if (request.reusedSocket) this.agent.closeIdleConnections();
     request.destroy(new Error('aborted'));
   }
 
-  /** Asks the server for its health once; undefined if it does not answer in time. */
-  public async health(path: string): Promise<HealthAnswer | undefined> {
+  /** Sends one health check; resolves to `undefined` if it fails or times out. */
+  public async health(path: string): Promise<HealthCheckResult | undefined> {
     const { codec, host, port } = this.options;
     return new Promise((resolve) => {
-      const rule = { limitBytes: maximumHealthBytes, whenLonger: 'close' } as const;
+      const collectionOptions = {
+        limitBytes: maximumHealthBodyBytes,
+        overflowAction: 'close',
+      } as const;
       const request = httpRequest({ agent: this.agent, host, path, port }, (response) => {
-        const concluded = ({ kind }: CollectedAnswer): void => {
+        const onCollected = ({ kind }: CollectedResponse): void => {
           if (kind !== 'whole') {
             resolve(undefined);
             return;
           }
-          const load = this.loadOf(response);
-          const instanceId = headerOf(response, codec.instanceId);
+          const load = this.readLoad(response);
+          const instanceId = firstHeaderValue(response, codec.instanceId);
           resolve({ instanceId, isReady: response.statusCode === 200, load });
         };
-        new AnswerCollector(response, rule, concluded, () => {
+        new ResponseCollector(response, collectionOptions, onCollected, () => {
           clearTimeout(timer);
         }).start();
       });
-      // Not an idle time: bytes may come without end, and seldom.
+      // A total timeout rather than an idle timeout: the server may send bytes rarely but endlessly.
       const timer = setTimeout(() => {
         resolve(undefined);
         request.destroy();
       }, healthTimeoutMilliseconds);
-      // The answer itself concludes; without one, 'close' tells that none comes. An error is followed by it.
+      // The response resolves the promise; without one, 'close' does, which also follows an 'error'.
       request.on('error', () => undefined);
       request.on('close', () => {
         clearTimeout(timer);
@@ -160,125 +163,133 @@
     return fields;
   }
 
-  private listen(request: ClientRequest, execution: Execution): void {
+  private attachListeners(request: ClientRequest, execution: Execution): void {
     const { executionId } = execution;
     let isConnected = false;
     let received: IncomingMessage | undefined;
-    const conclude = (result: ExecutionResult): void => {
-      if (!this.requests.delete(executionId)) return;
-      this.options.concluded(executionId, result);
+    const settle = (result: ExecutionResult): void => {
+      if (!this.activeRequests.delete(executionId)) return;
+      this.options.onResult(executionId, result);
     };
     request.on('socket', (socket) => {
       if (!socket.connecting) isConnected = true;
       else socket.once('connect', () => (isConnected = true));
     });
     request.on('error', (error) => {
-      // Bytes behind a whole answer belong to no request; the answer stands, its connection does not.
+      // Extra bytes after a complete response belong to no request: the response is valid, but its
+      // connection must not be reused.
       if (received?.complete === true) {
-        this.agent.distrust();
+        this.agent.disableReuse();
         return;
       }
       const detail = error.message;
-      if (isConnected) conclude({ detail, kind: 'failed' });
-      else conclude({ detail, kind: 'not-run', reason: DeclineReason.ServerUnreachable });
+      if (isConnected) settle({ detail, kind: 'failed' });
+      else settle({ detail, kind: 'not-run', reason: DeclineReason.ServerUnreachable });
     });
     request.on('response', (response) => {
       received = response;
-      this.receive(request, response, execution, conclude);
+      this.handleResponse(request, response, execution, settle);
     });
     request.on('close', () => {
-      if (received === undefined) conclude({ detail: 'closed without an answer', kind: 'failed' });
+      if (received === undefined)
+        settle({ detail: 'connection closed before a response', kind: 'failed' });
     });
   }
 
-  private receive(
+  private handleResponse(
     request: ClientRequest,
     response: IncomingMessage,
     { frame }: Execution,
-    conclude: (result: ExecutionResult) => void,
+    settle: (result: ExecutionResult) => void,
   ): void {
     const { codec } = this.options;
-    if (headerOf(response, codec.requestId) !== frame.requestId) {
-      this.agent.distrust();
+    if (firstHeaderValue(response, codec.requestId) !== frame.requestId) {
+      this.agent.disableReuse();
       response.on('error', () => undefined);
       request.destroy();
-      conclude({ detail: 'the answer belongs to another request', kind: 'failed' });
+      settle({ detail: 'response carries the identifier of another request', kind: 'failed' });
       return;
     }
-    let hasEnd = isEndMarked(response);
-    if (!hasEnd) {
-      // The end of the connection is that of the answer; Node.js drops the connection in its own listener.
+    let isEndKnown = isSelfDelimiting(response);
+    if (!isEndKnown) {
+      // The end of the connection marks the end of the body. The listener is prepended because the one of
+      // Node.js destroys the socket.
       const { socket } = response;
-      socket.prependOnceListener('end', () => (hasEnd = isStillConnected(socket)));
+      socket.prependOnceListener('end', () => (isEndKnown = hasClosedCleanly(socket)));
     }
-    const rule = { limitBytes: this.options.answerMemoryBytes, whenLonger: 'close' } as const;
-    const collector: AnswerCollector = new AnswerCollector(
+    const collectionOptions = {
+      limitBytes: this.options.responseMemoryBytes,
+      overflowAction: 'close',
+    } as const;
+    const collector: ResponseCollector = new ResponseCollector(
       response,
-      rule,
-      (answer) => {
-        this.memory.closed(collector);
-        if (answer.kind === 'whole' && hasEnd) conclude(this.resultOf(response, answer.body));
-        else conclude({ detail: 'the answer was cut or is too long', kind: 'failed' });
+      collectionOptions,
+      (collected) => {
+        this.responseMemory.untrack(collector);
+        if (collected.kind === 'whole' && isEndKnown)
+          settle(this.toExecutionResult(response, collected.body));
+        else settle({ detail: 'response aborted or too long', kind: 'failed' });
       },
       (isComplete) => {
-        if (!isComplete) this.agent.distrust();
+        if (!isComplete) this.agent.disableReuse();
       },
       () => {
-        this.memory.grown();
+        this.responseMemory.enforceLimit();
       },
     );
-    this.memory.opened(collector);
+    this.responseMemory.track(collector);
     collector.start();
   }
 
-  private resultOf(response: IncomingMessage, body: Uint8Array): ExecutionResult {
+  private toExecutionResult(response: IncomingMessage, body: Uint8Array): ExecutionResult {
     const { codec } = this.options;
-    const load = this.loadOf(response);
-    if (load !== undefined) this.options.load(load);
+    const load = this.readLoad(response);
+    if (load !== undefined) this.options.onLoadReport(load);
     const status = response.statusCode ?? 0;
     if (status === 421) {
-      const instanceId = headerOf(response, codec.instanceId);
-      if (instanceId !== undefined) this.options.otherInstance(instanceId);
+      const instanceId = firstHeaderValue(response, codec.instanceId);
+      if (instanceId !== undefined) this.options.onUnexpectedInstance(instanceId);
     }
-    if (status === 421 || headerOf(response, codec.notExecuted) !== undefined) {
-      const detail = `the server answered ${status} without running the request`;
+    if (status === 421 || firstHeaderValue(response, codec.notExecuted) !== undefined) {
+      const detail = `server rejected the request with status ${status} before executing it`;
       return { detail, kind: 'not-run', reason: DeclineReason.ServerRefused };
     }
-    const headers = endToEndHeaders(response.rawHeaders, this.droppedFields);
-    const fault = this.faultOf(status, headers);
+    const headers = endToEndHeaders(response.rawHeaders, this.strippedFields);
+    const fault = this.findResponseFault(status, headers);
     return fault === undefined
       ? { body, headers, kind: 'answered', status }
       : { detail: fault, kind: 'failed' };
   }
 
-  /** Why an answer can't be the server's own. */
-  private faultOf(status: number, headers: HeaderList): string | undefined {
-    if (headerValue(headers, 'content-encoding') !== undefined) return 'the answer is encoded';
+  /** Why a response cannot originate from the server itself; `undefined` if it can. */
+  private findResponseFault(status: number, headers: HeaderList): string | undefined {
+    if (headerValue(headers, 'content-encoding') !== undefined)
+      return 'response has a content encoding';
     const isSuccess = status >= 200 && status < 300;
     const isSigned = headerValue(headers, this.options.codec.signature) !== undefined;
-    return isSuccess && !isSigned ? 'the answer has no signature' : undefined;
+    return isSuccess && !isSigned ? 'response has no signature' : undefined;
   }
 
-  private loadOf(response: IncomingMessage): ServerLoad | undefined {
-    const value = headerOf(response, this.options.codec.load);
+  private readLoad(response: IncomingMessage): ServerLoad | undefined {
+    const value = firstHeaderValue(response, this.options.codec.load);
     return value === undefined ? undefined : this.options.codec.parseLoad(value);
   }
 }
 
-/** Whether the answer itself tells where its body ends (RFC 9112, section 6.3). */
-function isEndMarked({ headers }: IncomingMessage): boolean {
+/** Whether the response itself defines where its body ends (RFC 9112, section 6.3). */
+function isSelfDelimiting({ headers }: IncomingMessage): boolean {
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
 /**
- * Whether a connection that has ended was closed in order. A reset that arrives together with bytes
- * reaches Node.js as an ordinary end, but then the kernel knows no peer any more.
+ * Whether a connection that has ended was closed with FIN. Node.js reports a reset that arrives together with
+ * data as an ordinary end, but the kernel then no longer has a peer address for the socket.
  */
-function isStillConnected(socket: Socket): boolean {
+function hasClosedCleanly(socket: Socket): boolean {
   return socket.remoteAddress !== undefined;
 }
 
-function headerOf(response: IncomingMessage, name: string): string | undefined {
+function firstHeaderValue(response: IncomingMessage, name: string): string | undefined {
   const value = response.headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
--- /dev/null
+++ b/packages/upstreams/src/response-collector.ts
@@ -0,0 +1,139 @@
+import type { IncomingMessage } from 'node:http';
+import { PassThrough } from 'node:stream';
+import type { Readable } from 'node:stream';
+
+/** A discarded body that exceeds this is considered endless, and its connection is closed. */
+const maximumDiscardedBytes = 16_777_216;
+
+/** The result of collecting the body of a response. */
+export type CollectedResponse =
+  | { readonly kind: 'whole'; readonly body: Uint8Array }
+  /** The body exceeds the limit; the stream delivers all of it, from the first byte. */
+  | { readonly kind: 'streamed'; readonly body: Readable }
+  /** The body exceeds the limit and is discarded. */
+  | { readonly kind: 'too-long' }
+  /** The connection was closed before the end of the body. */
+  | { readonly kind: 'cut' };
+
+/** The limit on a collected body, and the handling of a longer one. */
+export interface CollectionOptions {
+  readonly limitBytes: number;
+  /** With `discard`, the connection stays usable if the body ends within `maximumDiscardedBytes`. */
+  readonly overflowAction: 'stream' | 'discard' | 'close';
+}
+
+/**
+ * Collects the body of a response up to a limit. `onCollected` is called exactly once with the result.
+ * `onEnded` is called exactly once after that, when the response has closed; its argument is false if
+ * the body was incomplete.
+ */
+export class ResponseCollector {
+  private readonly chunks: Buffer[] = [];
+  private receivedBytes = 0;
+  private isSettled = false;
+
+  public constructor(
+    private readonly response: IncomingMessage,
+    private readonly options: CollectionOptions,
+    private readonly onCollected: (result: CollectedResponse) => void,
+    private readonly onEnded: (isComplete: boolean) => void,
+    /** Called after each chunk that was added to the buffer. */
+    private readonly onBuffered: () => void = () => undefined,
+  ) {}
+
+  public start(): void {
+    this.response.on('data', this.onData);
+    this.response.on('end', () => {
+      if (this.response.complete) this.settleComplete();
+    });
+    // 'close' follows an 'error' of the response; its handler determines whether the body was complete.
+    this.response.on('error', () => undefined);
+    this.response.on('close', () => {
+      const isComplete = this.response.complete && this.response.readableEnded;
+      if (isComplete) this.settleComplete();
+      else this.settle({ kind: 'cut' });
+      this.onEnded(isComplete);
+    });
+    const declaredLength = Number(this.response.headers['content-length'] ?? 0);
+    if (declaredLength > this.options.limitBytes && !this.hasNoBody()) this.handleOverflow();
+  }
+
+  /** Size of the buffer; 0 once the result has been handed over. */
+  public get bufferedBytes(): number {
+    return this.isSettled ? 0 : this.receivedBytes;
+  }
+
+  /** Discards the collected chunks and closes the connection. */
+  public abort(): void {
+    this.response.off('data', this.onData);
+    this.chunks.length = 0;
+    this.response.destroy();
+    this.settle({ kind: 'too-long' });
+  }
+
+  private readonly onData = (chunk: Buffer): void => {
+    this.chunks.push(chunk);
+    this.receivedBytes += chunk.length;
+    if (this.receivedBytes > this.options.limitBytes) {
+      this.handleOverflow();
+      return;
+    }
+    this.onBuffered();
+    // A short response has been parsed completely when its only chunk arrives. Settling now saves the
+    // caller the wait for 'end' and 'close', which follow the cleanup of the connection.
+    if (this.response.complete && this.response.readableLength === 0) this.settleComplete();
+  };
+
+  /** The response to HEAD may declare the length of a body that is not sent. */
+  private hasNoBody(): boolean {
+    const { statusCode } = this.response;
+    const method = (this.response as { req?: { method?: string } }).req?.method;
+    return method === 'HEAD' || statusCode === 204 || statusCode === 304;
+  }
+
+  private handleOverflow(): void {
+    this.response.off('data', this.onData);
+    if (this.options.overflowAction === 'close') {
+      this.abort();
+      return;
+    }
+    if (this.options.overflowAction === 'discard') {
+      this.discardRest();
+      return;
+    }
+    const body = new PassThrough();
+    // An unhandled 'error' event would end the process while nobody reads the body. Readers add their own
+    // listener.
+    body.on('error', () => undefined);
+    for (const chunk of this.chunks) body.write(chunk);
+    this.response.pipe(body);
+    this.response.on('close', () => {
+      if (!this.response.readableEnded)
+        body.destroy(new Error('upstream response aborted before the end of its body'));
+    });
+    body.on('close', () => {
+      if (!body.readableEnded) this.response.destroy();
+    });
+    this.settle({ body, kind: 'streamed' });
+  }
+
+  private discardRest(): void {
+    this.chunks.length = 0;
+    this.response.on('data', (chunk: Buffer) => {
+      this.receivedBytes += chunk.length;
+      if (this.receivedBytes > maximumDiscardedBytes) this.response.destroy();
+    });
+    this.response.resume();
+    this.settle({ kind: 'too-long' });
+  }
+
+  private settleComplete(): void {
+    if (!this.isSettled) this.settle({ body: Buffer.concat(this.chunks), kind: 'whole' });
+  }
+
+  private settle(result: CollectedResponse): void {
+    if (this.isSettled) return;
+    this.isSettled = true;
+    this.onCollected(result);
+  }
+}
--- a/packages/upstreams/src/upstream-client.ts
+++ b/packages/upstreams/src/upstream-client.ts
@@ -13,25 +13,25 @@
 import { UpstreamExecution } from './upstream-execution.js';
 import { pollUpstream } from './upstream-poll.js';
 
-/** What the client tells the core. */
+/** A message from the client to the core. */
 export type UpstreamClientMessage =
   UpstreamFinishedMessage | UpstreamPolledMessage | UpstreamResultMessage;
 
 /**
- * HTTP client to the upstream beside the node. Each execution reports one `upstream-result` and
- * then one `upstream-finished`, never before `run` has returned.
+ * HTTP client for the upstream beside the node. For each execution it reports one `upstream-result` and
+ * then one `upstream-finished`, both after `run` has returned.
  */
 export class UpstreamClient {
   private connections: UpstreamConnections | undefined;
   private readonly executions = new Map<number, UpstreamExecution>();
-  /** Streamed answers that have not been read to their end. */
-  private readonly bodies = new Map<number, Readable>();
-  private poller: AbortController | undefined;
+  /** Streamed response bodies that have not been read completely, by execution. */
+  private readonly streamedBodies = new Map<number, Readable>();
+  private activePoll: AbortController | undefined;
   private isClosed = false;
 
-  public constructor(private readonly report: (message: UpstreamClientMessage) => void) {}
+  public constructor(private readonly onMessage: (message: UpstreamClientMessage) => void) {}
 
-  /** Address and connections as announced. Requests on their way to a former address may finish. */
+  /** Sets the announced address and number of connections. Requests in flight to a previous address may finish. */
   public setAddress(address: string, connections: number): void {
     if (this.connections?.address === address) {
       this.connections.resize(connections);
@@ -41,81 +41,86 @@
     this.connections = new UpstreamConnections(address, connections);
   }
 
-  /** Sends a request; `body` is needed when the command says that the body is streamed. */
+  /** Sends a request; `body` is required if the command has `streamedBody`. */
   public run(command: RunUpstreamCommand, body?: Readable): void {
     const { executionId } = command;
-    assertInvariant(!this.executions.has(executionId), `execution ${executionId} was run twice`);
+    assertInvariant(
+      !this.executions.has(executionId),
+      `execution ${executionId} is already running`,
+    );
     assertInvariant(
       !command.streamedBody || body !== undefined,
-      `execution ${executionId} lacks its streamed body`,
+      `execution ${executionId} has no stream for its body`,
     );
     const { connections } = this;
     if (connections === undefined || this.isClosed) {
       body?.destroy();
       process.nextTick(() => {
         this.reportResult(executionId, { kind: 'not-reached' });
-        this.report({ complete: false, executionId, kind: 'upstream-finished' });
+        this.onMessage({ complete: false, executionId, kind: 'upstream-finished' });
       });
       return;
     }
     const execution = new UpstreamExecution(command, body, connections, {
-      finished: (complete) => {
+      onFinished: (complete) => {
         this.executions.delete(executionId);
-        connections.requestEnded();
-        this.report({ complete, executionId, kind: 'upstream-finished' });
+        connections.onRequestEnded();
+        this.onMessage({ complete, executionId, kind: 'upstream-finished' });
       },
-      result: (result, answerBody) => {
-        if (answerBody !== undefined) this.keepBody(executionId, answerBody);
+      onResult: (result, streamedResponseBody) => {
+        if (streamedResponseBody !== undefined)
+          this.trackStreamedBody(executionId, streamedResponseBody);
         this.reportResult(executionId, result);
       },
     });
     this.executions.set(executionId, execution);
-    connections.requestStarted();
+    connections.onRequestStarted();
     execution.start();
   }
 
-  /** Aborts an execution and drops its answer's body; does nothing if there is neither. */
+  /** Aborts an execution and destroys its streamed response body, if they exist. */
   public cancel(executionId: number): void {
     this.executions.get(executionId)?.cancel();
-    this.bodies.get(executionId)?.destroy();
+    this.streamedBodies.get(executionId)?.destroy();
   }
 
-  /** The body of an answer that was reported as streamed, until it has been read. */
-  public answerBody(executionId: number): Readable | undefined {
-    return this.bodies.get(executionId);
+  /** The body of a response that was reported as streamed, until it has been read completely. */
+  public responseBody(executionId: number): Readable | undefined {
+    return this.streamedBodies.get(executionId);
   }
 
   /** Polls the health and load endpoints once; does nothing while a poll is in progress. */
   public poll(): void {
-    if (this.poller !== undefined || this.isClosed) return;
-    this.poller = new AbortController();
-    void this.pollOnce(this.poller);
+    if (this.activePoll !== undefined || this.isClosed) return;
+    this.activePoll = new AbortController();
+    void this.pollOnce(this.activePoll);
   }
 
   /** Aborts every execution and closes all connections. */
   public close(): void {
     this.isClosed = true;
-    this.poller?.abort();
+    this.activePoll?.abort();
     for (const execution of this.executions.values()) execution.cancel();
-    for (const body of this.bodies.values()) body.destroy();
+    for (const body of this.streamedBodies.values()) body.destroy();
     this.connections?.retire();
   }
 
-  private async pollOnce(stop: AbortController): Promise<void> {
+  private async pollOnce(abortController: AbortController): Promise<void> {
     const { connections } = this;
-    const unknown = { healthy: false, inFlight: undefined };
-    const polled = connections === undefined ? unknown : pollUpstream(connections, stop);
-    const result = await polled;
-    this.poller = undefined;
-    if (!this.isClosed) this.report({ ...result, kind: 'upstream-polled' });
+    const unhealthy = { healthy: false, inFlight: undefined };
+    const pendingResult =
+      connections === undefined ? unhealthy : pollUpstream(connections, abortController);
+    const result = await pendingResult;
+    this.activePoll = undefined;
+    if (!this.isClosed) this.onMessage({ ...result, kind: 'upstream-polled' });
   }
 
-  private keepBody(executionId: number, body: Readable): void {
-    this.bodies.set(executionId, body);
-    body.on('close', () => this.bodies.delete(executionId));
+  private trackStreamedBody(executionId: number, body: Readable): void {
+    this.streamedBodies.set(executionId, body);
+    body.on('close', () => this.streamedBodies.delete(executionId));
   }
 
   private reportResult(executionId: number, result: UpstreamResult): void {
-    this.report({ executionId, kind: 'upstream-result', result });
+    this.onMessage({ executionId, kind: 'upstream-result', result });
   }
 }
--- a/packages/upstreams/src/upstream-connections.ts
+++ b/packages/upstreams/src/upstream-connections.ts
@@ -1,10 +1,10 @@
 import { Agent } from 'node:http';
 
-/** An idle connection is closed before a Node.js upstream does so after its default of 5 s. */
-const idleMilliseconds = 4_000;
+/** Shorter than the default keep-alive timeout of a Node.js upstream, which is 5 s. */
+const idleTimeoutMilliseconds = 4_000;
 
-/** One of the announced connections is left for polls. */
-function requestConnections(connections: number): number {
+/** One of the announced connections is reserved for polls. */
+function maximumRequestConnections(connections: number): number {
   return Math.max(1, connections - 1);
 }
 
@@ -13,13 +13,13 @@
   public readonly host: string;
   public readonly port: number;
   public readonly agent: Agent;
-  private readonly separatePollAgent = new Agent({
+  private readonly dedicatedPollAgent = new Agent({
     keepAlive: true,
     maxSockets: 1,
-    timeout: idleMilliseconds,
+    timeout: idleTimeoutMilliseconds,
   });
-  private active = 0;
-  private retired = false;
+  private activeRequests = 0;
+  private isRetired = false;
 
   /** `address` is `host:port`. */
   public constructor(
@@ -31,36 +31,36 @@
     this.port = Number(address.slice(separator + 1));
     this.agent = new Agent({
       keepAlive: true,
-      maxSockets: requestConnections(connections),
+      maxSockets: maximumRequestConnections(connections),
       scheduling: 'lifo',
-      timeout: idleMilliseconds,
+      timeout: idleTimeoutMilliseconds,
     });
   }
 
-  /** Polls have a connection of their own, if there are two, so that they don't wait behind requests. */
+  /** With two or more connections, polls use a dedicated one so that they are not queued behind requests. */
   public get pollAgent(): Agent {
-    return this.connections > 1 ? this.separatePollAgent : this.agent;
+    return this.connections > 1 ? this.dedicatedPollAgent : this.agent;
   }
 
-  /** Changes the bound; connections above it close when their requests end. */
+  /** Changes the limit; excess connections close when their requests end. */
   public resize(connections: number): void {
     this.connections = connections;
-    this.agent.maxSockets = requestConnections(connections);
+    this.agent.maxSockets = maximumRequestConnections(connections);
   }
 
-  public requestStarted(): void {
-    this.active += 1;
+  public onRequestStarted(): void {
+    this.activeRequests += 1;
   }
 
-  public requestEnded(): void {
-    this.active -= 1;
-    if (this.retired && this.active === 0) this.agent.destroy();
+  public onRequestEnded(): void {
+    this.activeRequests -= 1;
+    if (this.isRetired && this.activeRequests === 0) this.agent.destroy();
   }
 
-  /** Closes the connections as soon as no request needs them. */
+  /** Closes all connections once their requests have ended. */
   public retire(): void {
-    this.retired = true;
-    this.separatePollAgent.destroy();
-    if (this.active === 0) this.agent.destroy();
+    this.isRetired = true;
+    this.dedicatedPollAgent.destroy();
+    if (this.activeRequests === 0) this.agent.destroy();
   }
 }
--- a/packages/upstreams/src/upstream-execution.ts
+++ b/packages/upstreams/src/upstream-execution.ts
@@ -5,37 +5,37 @@
 
 import type { RunUpstreamCommand, UpstreamResult } from '@peridotspring/core';
 
-import { AnswerCollector } from './answer-collector.js';
-import type { CollectedAnswer, CollectionRule } from './answer-collector.js';
-import { upstreamAnswerFields, upstreamRequestFields } from './header-fields.js';
+import { ResponseCollector } from './response-collector.js';
+import type { CollectedResponse, CollectionOptions } from './response-collector.js';
+import { upstreamResponseFields, upstreamRequestFields } from './header-fields.js';
 import type { UpstreamConnections } from './upstream-connections.js';
 
-/** A longer answer is streamed. */
-const wholeAnswerBytes = 65_536;
-/** Limit for answers that belong to a key's record. */
-const keyedAnswerBytes = 1_048_576;
+/** A longer response body is streamed. */
+const maximumBufferedBytes = 65_536;
+/** Limit for a response body that is stored in the record of an idempotency key. */
+const maximumCollectedBytes = 1_048_576;
 
-/** What an execution reports; `finished` follows `result`, each exactly once. */
-export interface ExecutionReports {
-  result(result: UpstreamResult, body: Readable | undefined): void;
-  finished(complete: boolean): void;
+/** Handlers of an execution. Each is called exactly once, `onFinished` after `onResult`. */
+export interface ExecutionHandlers {
+  onResult(result: UpstreamResult, body: Readable | undefined): void;
+  onFinished(isComplete: boolean): void;
 }
 
-/** Whether the end of an answer's body can be told from a lost connection (RFC 9112, section 6.3). */
-function isEndMarked(response: IncomingMessage, method: string): boolean {
+/** Whether the end of the response body can be distinguished from a lost connection (RFC 9112, section 6.3). */
+function isSelfDelimiting(response: IncomingMessage, method: string): boolean {
   const { headers, statusCode } = response;
   if (method === 'HEAD' || statusCode === 204 || statusCode === 304) return true;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
-/** One request to the upstream. */
+/** Sends one request to the upstream and reports its response. */
 export class UpstreamExecution {
   private request: ClientRequest | undefined;
   private hasSocket = false;
   private isConnected = false;
   private hasResponse = false;
-  /** Why this side ended the request, if it did; then errors say nothing about the upstream. */
-  private abortDetail: string | undefined;
+  /** Why this node aborted the request, if it did. Errors are then not attributed to the upstream. */
+  private abortReason: string | undefined;
   private hasResult = false;
   private isFinished = false;
 
@@ -43,7 +43,7 @@
     private readonly command: RunUpstreamCommand,
     private readonly body: Readable | undefined,
     private readonly connections: UpstreamConnections,
-    private readonly reports: ExecutionReports,
+    private readonly handlers: ExecutionHandlers,
   ) {}
 
   public start(): void {
@@ -60,46 +60,46 @@
         port: this.connections.port,
       });
     } catch (error) {
-      // Node.js rejects methods, paths and fields that can't be written as HTTP. That says nothing
-      // about the upstream, so it is not reported as not reached.
+      // Node.js throws on methods, paths and header fields that are invalid in HTTP. This is no sign of
+      // a fault of the upstream, so the result is `failed`, not `not-reached`.
       process.nextTick(() => {
-        this.fail(`the request can't be written: ${String(error)}`);
+        this.fail(`request is not valid HTTP: ${String(error)}`);
       });
       return;
     }
     this.request = request;
-    this.listen(request);
+    this.attachListeners(request);
     this.sendBody(request);
   }
 
   /** Closes the connection to the upstream. */
   public cancel(): void {
-    this.abortDetail ??= 'cancelled';
+    this.abortReason ??= 'cancelled';
     this.request?.destroy();
     this.body?.destroy();
     if (this.hasSocket) return;
-    // A request that waits for a connection tells of its end only once it would get one.
+    // A request that is queued for a connection emits 'close' only when a connection becomes available.
     process.nextTick(() => {
       this.fail('cancelled');
     });
   }
 
-  private listen(request: ClientRequest): void {
+  private attachListeners(request: ClientRequest): void {
     request.on('socket', (socket) => {
       this.hasSocket = true;
       if (!socket.connecting) this.isConnected = true;
       else socket.once('connect', () => (this.isConnected = true));
     });
     request.on('error', (error) => {
-      if (this.isConnected || this.abortDetail !== undefined) this.fail(error.message);
-      else this.end({ kind: 'not-reached' });
+      if (this.isConnected || this.abortReason !== undefined) this.fail(error.message);
+      else this.settle({ kind: 'not-reached' });
     });
     request.on('response', (response) => {
       this.hasResponse = true;
-      this.receive(response, request);
+      this.handleResponse(response, request);
     });
     request.on('close', () => {
-      if (!this.hasResponse) this.fail('the connection was closed without an answer');
+      if (!this.hasResponse) this.fail('connection closed before a response');
     });
   }
 
@@ -109,77 +109,80 @@
       request.end(this.command.body);
       return;
     }
-    const noteCut = (): void => {
-      if (!body.readableEnded && !this.isFinished) this.abortDetail ??= 'the request body was cut';
+    const recordBodyAbort = (): void => {
+      if (!body.readableEnded && !this.isFinished)
+        this.abortReason ??= 'request body aborted before its end';
     };
-    // These come before the listeners of `pipeline`, which aborts the request on the same events.
-    body.on('error', noteCut);
-    body.on('close', noteCut);
-    if (body.destroyed) noteCut();
+    // Registered before the listeners of `pipeline`, which aborts the request on the same events.
+    body.on('error', recordBodyAbort);
+    body.on('close', recordBodyAbort);
+    if (body.destroyed) recordBodyAbort();
     pipeline(body, request, (error) => {
       if (error) request.destroy(error);
     });
   }
 
-  private receive(response: IncomingMessage, request: ClientRequest): void {
-    if (!isEndMarked(response, this.command.head.method)) {
+  private handleResponse(response: IncomingMessage, request: ClientRequest): void {
+    if (!isSelfDelimiting(response, this.command.head.method)) {
       response.on('error', () => undefined);
       request.destroy();
-      this.fail('the answer has neither a length nor chunks, so a cut could not be told');
+      this.fail(
+        'response has neither Content-Length nor Transfer-Encoding, so truncation is undetectable',
+      );
       return;
     }
-    const rule: CollectionRule = this.command.collectAnswer
-      ? { limitBytes: keyedAnswerBytes, whenLonger: 'discard' }
-      : { limitBytes: wholeAnswerBytes, whenLonger: 'stream' };
-    const concluded = (answer: CollectedAnswer): void => {
-      this.conclude(response, answer);
+    const collectionOptions: CollectionOptions = this.command.collectAnswer
+      ? { limitBytes: maximumCollectedBytes, overflowAction: 'discard' }
+      : { limitBytes: maximumBufferedBytes, overflowAction: 'stream' };
+    const onCollected = (collected: CollectedResponse): void => {
+      this.reportCollected(response, collected);
     };
-    const ended = (complete: boolean): void => {
-      // An upstream that answers before it has read the body doesn't want the rest of it.
+    const onEnded = (isComplete: boolean): void => {
+      // An upstream that responds before it has read the whole request body does not need the rest.
       if (!request.writableFinished) request.destroy();
-      this.finish(complete);
+      this.finish(isComplete);
     };
-    new AnswerCollector(response, rule, concluded, ended).start();
+    new ResponseCollector(response, collectionOptions, onCollected, onEnded).start();
   }
 
-  private conclude(response: IncomingMessage, answer: CollectedAnswer): void {
-    const headers = upstreamAnswerFields(response.headers);
+  private reportCollected(response: IncomingMessage, collected: CollectedResponse): void {
+    const headers = upstreamResponseFields(response.headers);
     const head = { headers, kind: 'answered' as const, status: response.statusCode ?? 0 };
-    switch (answer.kind) {
+    switch (collected.kind) {
       case 'whole':
-        this.report({ ...head, body: answer.body, streamedBody: false });
+        this.reportResult({ ...head, body: collected.body, streamedBody: false });
         return;
       case 'streamed':
-        this.report({ ...head, streamedBody: true }, answer.body);
+        this.reportResult({ ...head, streamedBody: true }, collected.body);
         return;
       case 'too-long':
-        this.report({ ...head, streamedBody: false });
+        this.reportResult({ ...head, streamedBody: false });
         return;
       case 'cut':
-        this.fail('the answer was cut');
+        this.fail('response aborted before the end of its body');
         return;
     }
   }
 
   private fail(detail: string): void {
-    this.end({ detail: this.abortDetail ?? detail, kind: 'failed' });
+    this.settle({ detail: this.abortReason ?? detail, kind: 'failed' });
   }
 
-  private end(result: UpstreamResult): void {
-    this.report(result);
+  private settle(result: UpstreamResult): void {
+    this.reportResult(result);
     this.finish(false);
   }
 
-  private report(result: UpstreamResult, body?: Readable): void {
+  private reportResult(result: UpstreamResult, body?: Readable): void {
     if (this.hasResult) return;
     this.hasResult = true;
-    this.reports.result(result, body);
+    this.handlers.onResult(result, body);
   }
 
-  private finish(complete: boolean): void {
+  private finish(isComplete: boolean): void {
     if (this.isFinished) return;
     this.isFinished = true;
     this.body?.destroy();
-    this.reports.finished(complete);
+    this.handlers.onFinished(isComplete);
   }
 }
--- a/packages/upstreams/src/upstream-poll.ts
+++ b/packages/upstreams/src/upstream-poll.ts
@@ -5,27 +5,28 @@
 import type { UpstreamConnections } from './upstream-connections.js';
 
 const pollTimeoutMilliseconds = 2_000;
-const maximumAnswerBytes = 65_536;
+const maximumResponseCharacters = 65_536;
 
 const loadSchema = z.object({ inFlight: z.number().int().min(0) });
 
-/** What the upstream's health and load endpoints said. */
+/** State of the upstream according to its health and load endpoints. */
 export interface PollResult {
   readonly healthy: boolean;
+  /** Requests that the upstream is executing; `undefined` if unknown. */
   readonly inFlight: number | undefined;
 }
 
-interface PollAnswer {
+interface PollResponse {
   readonly status: number;
   readonly text: string;
 }
 
-/** Resolves to undefined if no whole answer came in time. */
-async function read(
+/** Resolves to `undefined` if no complete response arrived before the abort signal. */
+async function fetchText(
   connections: UpstreamConnections,
   path: string,
   signal: AbortSignal,
-): Promise<PollAnswer | undefined> {
+): Promise<PollResponse | undefined> {
   return new Promise((resolve) => {
     const { host, pollAgent: agent, port } = connections;
     const request = get({ agent, host, path, port, signal }, (response) => {
@@ -33,7 +34,7 @@
       response.setEncoding('utf8');
       response.on('data', (chunk: string) => {
         text += chunk;
-        if (text.length > maximumAnswerBytes) request.destroy();
+        if (text.length > maximumResponseCharacters) request.destroy();
       });
       response.on('error', () => undefined);
       response.on('close', () => {
@@ -46,27 +47,30 @@
   });
 }
 
-function parseInFlight(answer: PollAnswer | undefined): number | undefined {
-  if (answer?.status !== 200) return undefined;
+function parseInFlight(loadResponse: PollResponse | undefined): number | undefined {
+  if (loadResponse?.status !== 200) return undefined;
   try {
-    const parsed = loadSchema.safeParse(JSON.parse(answer.text));
+    const parsed = loadSchema.safeParse(JSON.parse(loadResponse.text));
     return parsed.success ? parsed.data.inFlight : undefined;
   } catch {
     return undefined;
   }
 }
 
-/** Polls `/health` and `/load`. No answer in time is unhealthy; an unreadable load is unknown. */
+/** Polls `/health` and `/load`. A timeout counts as unhealthy; an invalid load response gives an unknown load. */
 export async function pollUpstream(
   connections: UpstreamConnections,
-  stop: AbortController,
+  abortController: AbortController,
 ): Promise<PollResult> {
   const timer = setTimeout(() => {
-    stop.abort();
+    abortController.abort();
   }, pollTimeoutMilliseconds);
   try {
-    const health = await read(connections, '/health', stop.signal);
-    const load = health === undefined ? undefined : await read(connections, '/load', stop.signal);
+    const health = await fetchText(connections, '/health', abortController.signal);
+    const load =
+      health === undefined
+        ? undefined
+        : await fetchText(connections, '/load', abortController.signal);
     return { healthy: health?.status === 200, inFlight: parseInFlight(load) };
   } finally {
     clearTimeout(timer);
--- a/packages/upstreams/tests/announcement-server.test.ts
+++ b/packages/upstreams/tests/announcement-server.test.ts
@@ -8,29 +8,29 @@
 const valid = { address: '127.0.0.1:8080', connections: 200, service: 'antrag', slots: 6 };
 
 async function withServer(
-  use: (address: string, messages: AnnouncementMessage[]) => Promise<void>,
+  runTest: (address: string, messages: AnnouncementMessage[]) => Promise<void>,
 ): Promise<void> {
   const messages: AnnouncementMessage[] = [];
   const server = new AnnouncementServer((message) => messages.push(message));
   const port = await server.listen(0, '127.0.0.1');
   try {
-    await use(`127.0.0.1:${port}`, messages);
+    await runTest(`127.0.0.1:${port}`, messages);
   } finally {
     await server.close();
   }
 }
 
-test('the upstream stand-in and the port agree on announce, drain, restore and leave', async () => {
+test('announce, drain, restore and leave of the stand-in upstream are accepted and reported', async () => {
   await withServer(async (address, messages) => {
     const link = new NodeLink(address);
-    const answers = [
+    const responses = [
       await link.announce(valid),
       await link.drain(),
       await link.restore(),
       await link.leave(),
     ];
     assert.equal(
-      answers.map((answer) => answer.status),
+      responses.map((response) => response.status),
       [200, 200, 200, 200],
     );
     assert.equal(messages, [
@@ -62,13 +62,13 @@
 ];
 
 for (const [field, value, message] of invalidFields) {
-  test(`${field} ${String(value)} is rejected with its range, so that the operator can mend it`, () => {
+  test(`${field} ${String(value)} is rejected with an error that states the accepted values`, () => {
     const parsed = parseAnnouncement({ ...valid, [field]: value });
     assert.equal(parsed, { errors: [{ field, message }], kind: 'invalid' });
   });
 }
 
-test('all faults of an announcement are told at once', () => {
+test('all errors of an announcement are reported together', () => {
   const parsed = parseAnnouncement({ ...valid, connections: 0, slots: 0 });
   assert.is(parsed.kind === 'invalid' && parsed.errors.length, 2);
   assert.is(parseAnnouncement({ ...valid, address: '[::1]:80' }).kind, 'valid');
@@ -83,11 +83,11 @@
 ];
 
 for (const { body, field, method, path, status } of requestCases) {
-  test(`${method} ${path} is answered ${status} and changes nothing`, async () => {
+  test(`${method} ${path} is answered with ${status} and reports no message`, async () => {
     await withServer(async (address, messages) => {
-      const answer = await fetch(`http://${address}${path}`, { body, method });
-      assert.is(answer.status, status);
-      const content = (await answer.json()) as { errors: { field: string }[] };
+      const response = await fetch(`http://${address}${path}`, { body, method });
+      assert.is(response.status, status);
+      const content = (await response.json()) as { errors: { field: string }[] };
       assert.is(content.errors[0]?.field, field);
       assert.equal(messages, []);
     });
--- a/packages/upstreams/tests/client-setup.ts
+++ b/packages/upstreams/tests/client-harness.ts
@@ -10,32 +10,32 @@
 import { UpstreamClient } from '../src/index.js';
 import type { UpstreamClientMessage } from '../src/index.js';
 
-/** Far above what a busy machine needs; only ends a test that can't pass any more. */
-const patienceMilliseconds = 30_000;
+/** Far longer than a busy machine needs; it only ends a test that can no longer pass. */
+const timeoutMilliseconds = 30_000;
 
-/** What a test changes of an ordinary command. */
-export type CommandChanges = Partial<RequestHead> &
+/** Values that a test sets instead of the defaults of a command. */
+export type CommandOverrides = Partial<RequestHead> &
   Partial<Pick<RunUpstreamCommand, 'body' | 'collectAnswer' | 'remainingMilliseconds'>>;
 
-/** A client that keeps what it reports and lets a test wait for it. */
-export class ClientBench {
+/** An `UpstreamClient` whose messages are recorded and can be awaited. */
+export class UpstreamClientHarness {
   public readonly messages: UpstreamClientMessage[] = [];
   public readonly client = new UpstreamClient((message) => {
     this.messages.push(message);
-    for (const wake of this.waiting.splice(0)) wake();
+    for (const wake of this.messageWaiters.splice(0)) wake();
   });
-  private readonly waiting: (() => void)[] = [];
-  private nextExecution = 1;
+  private readonly messageWaiters: (() => void)[] = [];
+  private nextExecutionId = 1;
 
   public constructor(address: string, connections = 10) {
     this.client.setAddress(address, connections);
   }
 
-  /** Returns the execution's number. */
-  public run(path: string, changes: CommandChanges = {}, stream?: Readable): number {
-    const executionId = this.nextExecution;
-    this.nextExecution += 1;
-    const { body, collectAnswer = false, remainingMilliseconds = 60_000, ...head } = changes;
+  /** Sends a request and returns the identifier of its execution. */
+  public run(path: string, overrides: CommandOverrides = {}, stream?: Readable): number {
+    const executionId = this.nextExecutionId;
+    this.nextExecutionId += 1;
+    const { body, collectAnswer = false, remainingMilliseconds = 60_000, ...head } = overrides;
     const defaults = { depth: 2, headers: {}, method: 'GET', requestId: 'r-1', tenant: 'coop' };
     const command: RunUpstreamCommand = {
       body,
@@ -50,18 +50,18 @@
     return executionId;
   }
 
-  public async result(executionId: number): Promise<UpstreamResult> {
-    return (await this.message('upstream-result', executionId)).result;
+  public async waitForResult(executionId: number): Promise<UpstreamResult> {
+    return (await this.waitForMessage('upstream-result', executionId)).result;
   }
 
-  /** Resolves to whether the answer was complete. */
-  public async finished(executionId: number): Promise<boolean> {
-    return (await this.message('upstream-finished', executionId)).complete;
+  /** Resolves to whether the response was complete. */
+  public async waitForFinish(executionId: number): Promise<boolean> {
+    return (await this.waitForMessage('upstream-finished', executionId)).complete;
   }
 
-  public async polled(): Promise<UpstreamClientMessage> {
+  public async pollOnce(): Promise<UpstreamClientMessage> {
     this.client.poll();
-    const message = await this.message('upstream-polled');
+    const message = await this.waitForMessage('upstream-polled');
     this.messages.splice(this.messages.indexOf(message), 1);
     return message;
   }
@@ -73,25 +73,30 @@
       .map((message) => message.kind);
   }
 
-  private async message<Kind extends UpstreamClientMessage['kind']>(
+  private async waitForMessage<Kind extends UpstreamClientMessage['kind']>(
     kind: Kind,
     executionId?: number,
   ): Promise<Extract<UpstreamClientMessage, { kind: Kind }>> {
     type Found = Extract<UpstreamClientMessage, { kind: Kind }>;
     for (;;) {
       const found = this.messages.find(
-        (one): one is Found =>
-          one.kind === kind && (!('executionId' in one) || one.executionId === executionId),
+        (candidate): candidate is Found =>
+          candidate.kind === kind &&
+          (!('executionId' in candidate) || candidate.executionId === executionId),
       );
       if (found !== undefined) return found;
-      await this.nextMessage();
+      await this.waitForNextMessage();
     }
   }
 
-  private async nextMessage(): Promise<void> {
+  private async waitForNextMessage(): Promise<void> {
     await new Promise<void>((resolve, reject) => {
-      const timer = setTimeout(reject, patienceMilliseconds, new Error('no message came'));
-      this.waiting.push(() => {
+      const timer = setTimeout(
+        reject,
+        timeoutMilliseconds,
+        new Error('no message before the timeout'),
+      );
+      this.messageWaiters.push(() => {
         clearTimeout(timer);
         resolve();
       });
@@ -99,29 +104,29 @@
   }
 }
 
-/** Runs a test against a stand-in under the given faults. */
+/** Runs a test against a stand-in upstream with the given faults. */
 export async function withStandIn(
   faults: Partial<UpstreamFaults>,
-  use: (bench: ClientBench, standIn: UpstreamStandIn) => Promise<void>,
+  runTest: (harness: UpstreamClientHarness, standIn: UpstreamStandIn) => Promise<void>,
   options: { slots?: number; connections?: number; clientConnections?: number } = {},
 ): Promise<void> {
   const { clientConnections, ...standInOptions } = options;
   const standIn = new UpstreamStandIn(standInOptions);
   await standIn.start();
-  const bench = new ClientBench(standIn.address, clientConnections);
+  const harness = new UpstreamClientHarness(standIn.address, clientConnections);
   try {
     await standIn.changeFaults(faults);
-    await use(bench, standIn);
+    await runTest(harness, standIn);
   } finally {
-    bench.client.close();
+    harness.client.close();
     await standIn.close();
   }
 }
 
-/** Runs a test against a server that handles its connections itself. */
+/** Runs a test against a TCP server whose connections are handled by `handle`. */
 export async function withRawServer(
   handle: (socket: Socket) => void,
-  use: (bench: ClientBench) => Promise<void>,
+  runTest: (harness: UpstreamClientHarness) => Promise<void>,
 ): Promise<void> {
   const sockets = new Set<Socket>();
   const server = createServer((socket) => {
@@ -131,21 +136,21 @@
   });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
-  const bench = new ClientBench(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+  const harness = new UpstreamClientHarness(`127.0.0.1:${(server.address() as AddressInfo).port}`);
   try {
-    await use(bench);
+    await runTest(harness);
   } finally {
-    bench.client.close();
+    harness.client.close();
     for (const socket of sockets) socket.destroy();
     server.close();
   }
 }
 
-/** Waits for a condition that no message tells of. */
-export async function until(condition: () => boolean): Promise<void> {
-  const latest = Date.now() + patienceMilliseconds;
+/** Polls for a condition that no message reports. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  const latest = Date.now() + timeoutMilliseconds;
   while (!condition()) {
-    if (Date.now() > latest) throw new Error('the condition did not come true');
+    if (Date.now() > latest) throw new Error('condition not met before the timeout');
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
--- a/packages/upstreams/tests/header-fields.test.ts
+++ b/packages/upstreams/tests/header-fields.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { upstreamAnswerFields, upstreamRequestFields } from '../src/header-fields.js';
+import { upstreamResponseFields, upstreamRequestFields } from '../src/header-fields.js';
 
 const head = (headers: RequestHead['headers'], method = 'POST'): RequestHead => ({
   depth: 2,
@@ -14,14 +14,14 @@
   tenant: 'coop',
 });
 
-const added = {
+const addedFields = {
   'peridotspring-deadline-ms': '1500',
   'peridotspring-depth': '3',
   'peridotspring-request-id': 'r-1',
   'peridotspring-tenant': 'coop',
 };
 
-test('fields of one connection and forged internal ones do not reach the upstream', () => {
+test('hop-by-hop fields and forged internal fields are not forwarded to the upstream', () => {
   const fields = upstreamRequestFields(
     head({
       Accept: 'text/plain',
@@ -40,7 +40,7 @@
     4,
   );
   const kept = { accept: 'text/plain', 'idempotency-key': 'k', 'x-many': ['a', 'b'] };
-  assert.equal(fields, { ...kept, ...added, 'content-length': 4 });
+  assert.equal(fields, { ...kept, ...addedFields, 'content-length': 4 });
 });
 
 const lengthCases = [
@@ -51,18 +51,18 @@
 ] as const;
 
 for (const { expected, headers, length, method } of lengthCases) {
-  test(`${method} with a body of ${length} states the length ${expected ?? 'not at all'}, so that bodies are framed rightly`, () => {
+  test(`${method} with a body of ${length} sends the content-length ${expected ?? 'not at all'}`, () => {
     const fields = upstreamRequestFields(head(headers, method), 1_500, length);
     assert.is(fields['content-length'], expected);
   });
 }
 
-test('a deadline that has passed is told as 0, not as a negative number', () => {
+test('an expired deadline is sent as 0, not as a negative number', () => {
   assert.is(upstreamRequestFields(head({}), -3, 0)['peridotspring-deadline-ms'], '0');
 });
 
-test('an upstream can set neither connection fields nor outcomes of the system', () => {
-  const fields = upstreamAnswerFields({
+test('hop-by-hop fields and internal fields of an upstream response are not forwarded', () => {
+  const fields = upstreamResponseFields({
     connection: 'x-hop',
     'content-length': '4',
     'peridotspring-outcome': 'refused-not-run',
