--- a/packages/daemon/bin/peridotspring.mjs
+++ b/packages/daemon/bin/peridotspring.mjs
@@ -1,3 +1,4 @@
 #!/usr/bin/env node
-// Checked in, because npm links only commands whose file exists when it installs, before the build.
+// Checked in because `npm install` runs before the build and links only commands whose file
+// already exists.
 import '../dist/src/main.js';
--- a/packages/daemon/src/driver/body-relay.ts
+++ b/packages/daemon/src/driver/body-relay.ts
@@ -12,44 +12,50 @@
 import { PeerBodySink, PeerBodySource } from './peer-body-stream.js';
 
 export interface BodyRelayOptions {
-  readonly callerBody: (requestNumber: number) => Readable | undefined;
-  readonly callerSink: (requestNumber: number) => Writable | undefined;
-  readonly upstreamAnswer: (executionId: number) => Readable | undefined;
+  readonly callerRequestBody: (requestNumber: number) => Readable | undefined;
+  readonly callerResponseSink: (requestNumber: number) => Writable | undefined;
+  readonly upstreamResponseBody: (executionId: number) => Readable | undefined;
   readonly sendFrame: (server: string, frame: BodyFrame) => void;
-  readonly finished: (message: RelayFinishedMessage) => void;
+  readonly onFinished: (message: RelayFinishedMessage) => void;
 }
 
-/** Moves streamed bodies between callers, nodes and the upstream, with back-pressure. */
+/**
+ * Streams request and response bodies between callers, nodes and the local upstream, with
+ * back-pressure.
+ */
 export class BodyRelay {
   private readonly peerBodies = new Map<string, PeerBodySource | PeerBodySink>();
-  private readonly upstreamBodies = new Map<number, PassThrough>();
+  private readonly upstreamRequestBodies = new Map<number, PassThrough>();
 
   public constructor(private readonly options: BodyRelayOptions) {}
 
-  /** The stream of a request body that a `relay-body` command will fill. */
-  public upstreamBody(executionId: number): Readable {
+  /**
+   * Creates the stream for a request body to the upstream; a later `relay-body` command fills it.
+   */
+  public createUpstreamRequestBody(executionId: number): Readable {
     const body = new PassThrough();
-    this.upstreamBodies.set(executionId, body);
+    this.upstreamRequestBodies.set(executionId, body);
     body.once('close', () => {
-      this.upstreamBodies.delete(executionId);
+      this.upstreamRequestBodies.delete(executionId);
     });
-    // The upstream's client sees the fault; without a listener it would stop the process.
+    // The upstream client handles the error. Without a listener here, Node.js would treat it as
+    // uncaught.
     body.on('error', () => undefined);
     return body;
   }
 
   public start(command: RelayBodyCommand): void {
     const { direction, from, to } = command;
-    const source = this.source(from, direction);
-    const sink = this.sink(to, direction);
+    const source = this.openSource(from, direction);
+    const sink = this.openSink(to, direction);
     if (source === undefined || sink === undefined) {
       source?.destroy();
       sink?.destroy();
-      this.options.finished({ complete: false, from, kind: 'relay-finished', to });
+      this.options.onFinished({ complete: false, from, kind: 'relay-finished', to });
       return;
     }
     pipeline(source, sink, (error) => {
-      this.options.finished({
+      this.options.onFinished({
         complete: !error,
         from,
         kind: 'relay-finished',
@@ -58,16 +64,18 @@
     });
   }
 
-  /** Takes a body frame of another node. Frames of bodies that are gone are dropped. */
-  public frame(server: string, frame: BodyFrame): void {
+  /**
+   * Handles a body frame from another node. Frames of bodies that are already closed are ignored.
+   */
+  public onFrame(server: string, frame: BodyFrame): void {
     const { callId, direction, kind } = frame;
     const isFromReceiver = kind === 'body-credit' || kind === 'body-stop';
     const role = isFromReceiver ? 'sink' : 'source';
-    this.peerBodies.get(bodyKey(role, server, callId, direction))?.frame(frame);
+    this.peerBodies.get(peerBodyKey(role, server, callId, direction))?.onFrame(frame);
   }
 
-  /** Every body that comes from or goes to the server is cut. */
-  public peerLost(server: string): void {
+  /** Aborts every body that is being streamed from or to the server. */
+  public onPeerLost(server: string): void {
     for (const [key, body] of [...this.peerBodies]) {
       if (key.startsWith(`${server}#`)) {
         body.destroy(new Error('the connection to the node was lost'));
@@ -78,59 +86,68 @@
   public drop(endpoint: BodyEndpoint): void {
     if (endpoint.kind === 'peer') {
       const { callId, server } = endpoint;
-      this.peerBodies.get(bodyKey('source', server, callId, 'answer'))?.destroy();
-      this.peerBodies.get(bodyKey('sink', server, callId, 'request'))?.destroy();
+      this.peerBodies.get(peerBodyKey('source', server, callId, 'answer'))?.destroy();
+      this.peerBodies.get(peerBodyKey('sink', server, callId, 'request'))?.destroy();
     } else if (endpoint.kind === 'upstream') {
-      this.upstreamBodies.get(endpoint.executionId)?.destroy();
+      this.upstreamRequestBodies.get(endpoint.executionId)?.destroy();
     }
   }
 
   public close(): void {
-    for (const body of [...this.peerBodies.values(), ...this.upstreamBodies.values()]) {
+    for (const body of [...this.peerBodies.values(), ...this.upstreamRequestBodies.values()]) {
       body.destroy();
     }
   }
 
-  private source(endpoint: BodyEndpoint, direction: BodyDirection): Readable | undefined {
+  private openSource(endpoint: BodyEndpoint, direction: BodyDirection): Readable | undefined {
     switch (endpoint.kind) {
       case 'caller':
-        return this.options.callerBody(endpoint.requestNumber);
+        return this.options.callerRequestBody(endpoint.requestNumber);
       case 'upstream':
-        return this.options.upstreamAnswer(endpoint.executionId);
+        return this.options.upstreamResponseBody(endpoint.executionId);
       case 'peer': {
         const { callId, server } = endpoint;
-        const key = bodyKey('source', server, callId, direction);
-        return this.register(key, new PeerBodySource(this.peerOptions(key, endpoint, direction)));
+        const key = peerBodyKey('source', server, callId, direction);
+        return this.registerPeerBody(
+          key,
+          new PeerBodySource(this.createPeerBodyOptions(key, endpoint, direction)),
+        );
       }
     }
   }
 
-  private sink(endpoint: BodyEndpoint, direction: BodyDirection): Writable | undefined {
+  private openSink(endpoint: BodyEndpoint, direction: BodyDirection): Writable | undefined {
     switch (endpoint.kind) {
       case 'caller':
-        return this.options.callerSink(endpoint.requestNumber);
+        return this.options.callerResponseSink(endpoint.requestNumber);
       case 'upstream':
-        return this.upstreamBodies.get(endpoint.executionId);
+        return this.upstreamRequestBodies.get(endpoint.executionId);
       case 'peer': {
         const { callId, server } = endpoint;
-        const key = bodyKey('sink', server, callId, direction);
-        return this.register(key, new PeerBodySink(this.peerOptions(key, endpoint, direction)));
+        const key = peerBodyKey('sink', server, callId, direction);
+        return this.registerPeerBody(
+          key,
+          new PeerBodySink(this.createPeerBodyOptions(key, endpoint, direction)),
+        );
       }
     }
   }
 
-  private register<Body extends PeerBodySource | PeerBodySink>(key: string, body: Body): Body {
+  private registerPeerBody<Body extends PeerBodySource | PeerBodySink>(
+    key: string,
+    body: Body,
+  ): Body {
     this.peerBodies.set(key, body);
     return body;
   }
 
-  private peerOptions(
+  private createPeerBodyOptions(
     key: string,
     { callId, server }: Extract<BodyEndpoint, { readonly kind: 'peer' }>,
     direction: BodyDirection,
   ): ConstructorParameters<typeof PeerBodySource>[0] {
     return {
-      closed: () => {
+      onClosed: () => {
         this.peerBodies.delete(key);
       },
       identity: { callId, direction },
@@ -141,7 +158,7 @@
   }
 }
 
-function bodyKey(
+function peerBodyKey(
   role: 'sink' | 'source',
   server: string,
   callId: number,
--- a/packages/daemon/src/driver/node-driver.ts
+++ b/packages/daemon/src/driver/node-driver.ts
@@ -21,24 +21,26 @@
 
 import type { BodyRelay } from './body-relay.js';
 
-/** What the driver needs of the callers' server. */
+/** The part of the server for callers that the driver uses. */
 export interface CallerPort {
   reply(command: ReplyToCallerCommand): void;
 }
 
-/** What the driver needs of the client of the local upstream. */
+/** The part of the client of the local upstream that the driver uses. */
 export interface UpstreamPort {
   run(command: RunUpstreamCommand, body?: Readable): void;
   cancel(executionId: number): void;
   poll(): void;
 }
 
-/** What the driver needs of the platform's client. */
+/** The part of the client of the platform's key-value store that the driver uses. */
 export interface StorePort {
-  execute(operation: StoreOperation, deliver: (result: StoreResult) => void): void;
+  execute(operation: StoreOperation, onResult: (result: StoreResult) => void): void;
 }
 
-/** Commands that concern operators only. */
+/**
+ * Commands of the core that the driver doesn't execute itself, but passes to `onObservedCommand`.
+ */
 export type ObservedCommand = Extract<
   CoreCommand,
   {
@@ -61,23 +63,23 @@
   readonly upstream: UpstreamPort;
   readonly store: StorePort;
   readonly clock: () => ClockReading;
-  readonly observe: (command: ObservedCommand) => void;
-  readonly operatorFrame: (from: NodeIdentity, frame: OperatorFrame) => void;
+  readonly onObservedCommand: (command: ObservedCommand) => void;
+  readonly onOperatorFrame: (from: NodeIdentity, frame: OperatorFrame) => void;
 }
 
-/** Delivers messages to the core one after the other and carries out its commands. */
+/** Passes messages to the core one at a time and executes the commands that the core returns. */
 export class NodeDriver {
   private readonly queue: CoreMessage[] = [];
   private timer: NodeJS.Timeout | undefined;
-  /** Monotonic time of the next tick. */
-  private tickAt = Number.POSITIVE_INFINITY;
+  /** Monotonic time, in milliseconds, for which the timer is set; infinite if none is set. */
+  private scheduledTickAt = Number.POSITIVE_INFINITY;
   private isStarted = false;
   private isHandling = false;
   private isClosed = false;
 
   public constructor(private readonly options: NodeDriverOptions) {}
 
-  /** Starts the clock of the core. */
+  /** Delivers the first tick to the core; later ticks are scheduled as the core requests them. */
   public start(): void {
     this.isStarted = true;
     this.deliver({ kind: 'tick' });
@@ -89,7 +91,10 @@
     this.options.relay.close();
   }
 
-  /** Hands a message to the core. A message that comes up while a command is carried out waits. */
+  /**
+   * Passes a message to the core. Messages that arrive while a command is being executed are
+   * queued.
+   */
   public deliver(message: CoreMessage): void {
     if (this.isClosed) {
       return;
@@ -111,27 +116,27 @@
     this.scheduleTick();
   }
 
-  /** Takes a frame of another node. */
-  public frame(from: NodeIdentity, frame: PeerFrame): void {
+  /** Handles a frame from another node. */
+  public onFrame(from: NodeIdentity, frame: PeerFrame): void {
     switch (frame.kind) {
       case 'body-chunk':
       case 'body-credit':
       case 'body-cut':
       case 'body-end':
       case 'body-stop':
-        this.options.relay.frame(from.server, frame);
+        this.options.relay.onFrame(from.server, frame);
         return;
       case 'operator-answer':
       case 'operator-question':
-        this.options.operatorFrame(from, frame);
+        this.options.onOperatorFrame(from, frame);
         return;
       default:
         this.deliver({ frame, from: from.server, kind: 'peer-frame' });
     }
   }
 
-  /** Frames to a server never left this node. */
-  public unsent(server: string, frames: readonly PeerFrame[]): void {
+  /** Reports to the core that these frames to a server were not sent. */
+  public onFramesNotSent(server: string, frames: readonly PeerFrame[]): void {
     for (const frame of frames) {
       if (isCoreFrame(frame)) {
         this.deliver({ congested: false, frame, kind: 'frame-not-sent', to: server });
@@ -139,23 +144,23 @@
     }
   }
 
-  /** The connection to a server is gone. */
-  public peerLost(server: string): void {
-    this.options.relay.peerLost(server);
+  /** Handles the loss of the connection to a server. */
+  public onPeerLost(server: string): void {
+    this.options.relay.onPeerLost(server);
     this.deliver({ kind: 'peer-lost', server });
   }
 
-  /** Sets the timer to the tick that the core needs next, if that is earlier than the one set. */
+  /** Schedules the next tick that the core requests, if it is earlier than the scheduled one. */
   private scheduleTick(): void {
     if (!this.isStarted || this.isClosed) return;
     const { clock, core } = this.options;
     const nextTickAt = core.nextTickAt;
-    if (nextTickAt >= this.tickAt) return;
+    if (nextTickAt >= this.scheduledTickAt) return;
     clearTimeout(this.timer);
-    this.tickAt = nextTickAt;
+    this.scheduledTickAt = nextTickAt;
     this.timer = setTimeout(
       () => {
-        this.tickAt = Number.POSITIVE_INFINITY;
+        this.scheduledTickAt = Number.POSITIVE_INFINITY;
         this.deliver({ kind: 'tick' });
       },
       Math.ceil(Math.max(0, nextTickAt - clock().monotonic)),
@@ -163,7 +168,7 @@
   }
 
   private execute(command: CoreCommand): void {
-    const { callers, observe, relay, upstream } = this.options;
+    const { callers, onObservedCommand, relay, upstream } = this.options;
     switch (command.kind) {
       case 'send-frame':
         this.sendFrame(command);
@@ -172,7 +177,9 @@
         callers.reply(command);
         return;
       case 'run-upstream': {
-        const body = command.streamedBody ? relay.upstreamBody(command.executionId) : undefined;
+        const body = command.streamedBody
+          ? relay.createUpstreamRequestBody(command.executionId)
+          : undefined;
         upstream.run(command, body);
         return;
       }
@@ -192,7 +199,7 @@
         this.runStoreOperation(command);
         return;
       default:
-        observe(command);
+        onObservedCommand(command);
     }
   }
 
--- a/packages/daemon/src/driver/peer-body-stream.ts
+++ b/packages/daemon/src/driver/peer-body-stream.ts
@@ -2,13 +2,16 @@
 
 import type { BodyDirection, BodyFrame } from '@peridotspring/core';
 
-/** Bytes that may be on the way before the receiver has consumed any. */
+/** Bytes that the sender may have in flight before the receiver has consumed any. */
 export const initialCreditBytes = 262_144;
-/** The receiver returns credit in steps of this size, so that credits stay rare. */
+/**
+ * The receiver returns credit only in steps of at least this size, to keep the number of credit
+ * frames low.
+ */
 const creditStepBytes = 65_536;
-const largestChunkBytes = 65_536;
+const maximumChunkBytes = 65_536;
 
-/** Identifies the body that a frame belongs to. */
+/** Identifies the body to which a frame belongs. */
 export interface PeerBodyIdentity {
   readonly callId: number;
   readonly direction: BodyDirection;
@@ -17,26 +20,26 @@
 export interface PeerBodyOptions {
   readonly identity: PeerBodyIdentity;
   readonly send: (frame: BodyFrame) => void;
-  readonly closed: () => void;
+  readonly onClosed: () => void;
 }
 
-/** A body that arrives from another node. */
+/** A readable stream of a body that is received from another node. */
 export class PeerBodySource extends Readable {
   private receivedBytes = 0;
   private creditedBytes = 0;
   private hasEnded = false;
 
-  public constructor(private readonly body: PeerBodyOptions) {
+  public constructor(private readonly options: PeerBodyOptions) {
     super({ highWaterMark: initialCreditBytes });
   }
 
-  /** Takes a frame about this body. */
-  public frame(frame: BodyFrame): void {
+  /** Handles a frame that belongs to this body. */
+  public onFrame(frame: BodyFrame): void {
     switch (frame.kind) {
       case 'body-chunk':
         this.receivedBytes += frame.bytes.length;
         this.push(frame.bytes);
-        // A flowing stream hands the chunk on within `push`, without a call of `read`.
+        // A stream in flowing mode passes the chunk on within `push`, without calling `read`.
         this.returnCredit();
         return;
       case 'body-end':
@@ -45,7 +48,7 @@
         return;
       case 'body-cut':
         this.hasEnded = true;
-        this.destroy(new Error('the sender cut the body'));
+        this.destroy(new Error('the sending node aborted the body'));
         return;
       case 'body-credit':
       case 'body-stop':
@@ -62,45 +65,51 @@
     return chunk;
   }
 
-  /** Everything that was received and no longer waits here has been consumed. */
+  /**
+   * Returns credit for consumed bytes: those that were received and are no longer buffered in this
+   * stream.
+   */
   private returnCredit(): void {
-    const consumed = this.receivedBytes - this.readableLength - this.creditedBytes;
-    if (consumed < creditStepBytes || this.hasEnded || this.destroyed) {
+    const consumedBytes = this.receivedBytes - this.readableLength - this.creditedBytes;
+    if (consumedBytes < creditStepBytes || this.hasEnded || this.destroyed) {
       return;
     }
-    this.creditedBytes += consumed;
-    this.body.send({ ...this.body.identity, bytes: consumed, kind: 'body-credit' });
+    this.creditedBytes += consumedBytes;
+    this.options.send({ ...this.options.identity, bytes: consumedBytes, kind: 'body-credit' });
   }
 
   public override _destroy(error: Error | null, callback: (error?: Error | null) => void): void {
     if (!this.hasEnded) {
-      this.body.send({ ...this.body.identity, kind: 'body-stop' });
+      this.options.send({ ...this.options.identity, kind: 'body-stop' });
     }
-    this.body.closed();
+    this.options.onClosed();
     callback(error);
   }
 }
 
-/** A body that goes to another node, as fast as its credit allows. */
+/**
+ * A writable stream of a body that is sent to another node; it sends only as much as its credit
+ * allows.
+ */
 export class PeerBodySink extends Writable {
   private creditBytes = initialCreditBytes;
-  private waiting: (() => void) | undefined;
+  private resumeSending: (() => void) | undefined;
   private hasEnded = false;
 
-  public constructor(private readonly body: PeerBodyOptions) {
-    super({ highWaterMark: largestChunkBytes });
+  public constructor(private readonly options: PeerBodyOptions) {
+    super({ highWaterMark: maximumChunkBytes });
   }
 
-  /** Takes a frame about this body. */
-  public frame(frame: BodyFrame): void {
+  /** Handles a frame that belongs to this body. */
+  public onFrame(frame: BodyFrame): void {
     if (frame.kind === 'body-credit') {
       this.creditBytes += frame.bytes;
-      const { waiting } = this;
-      this.waiting = undefined;
-      waiting?.();
+      const { resumeSending } = this;
+      this.resumeSending = undefined;
+      resumeSending?.();
     } else if (frame.kind === 'body-stop') {
       this.hasEnded = true;
-      this.destroy(new Error('the receiver stopped reading the body'));
+      this.destroy(new Error('the receiving node stopped reading the body'));
     }
   }
 
@@ -109,35 +118,35 @@
     _encoding: BufferEncoding,
     callback: (error?: Error | null) => void,
   ): void {
-    this.sendFrom(chunk, 0, callback);
+    this.sendChunks(chunk, 0, callback);
   }
 
   public override _final(callback: (error?: Error | null) => void): void {
     this.hasEnded = true;
-    this.body.send({ ...this.body.identity, kind: 'body-end' });
+    this.options.send({ ...this.options.identity, kind: 'body-end' });
     callback();
   }
 
   public override _destroy(error: Error | null, callback: (error?: Error | null) => void): void {
     if (!this.hasEnded) {
-      this.body.send({ ...this.body.identity, kind: 'body-cut' });
+      this.options.send({ ...this.options.identity, kind: 'body-cut' });
     }
-    this.body.closed();
+    this.options.onClosed();
     callback(error);
   }
 
-  private sendFrom(chunk: Buffer, start: number, callback: () => void): void {
+  private sendChunks(chunk: Buffer, start: number, callback: () => void): void {
     let offset = start;
     while (offset < chunk.length) {
-      const length = Math.min(chunk.length - offset, largestChunkBytes, this.creditBytes);
+      const length = Math.min(chunk.length - offset, maximumChunkBytes, this.creditBytes);
       if (length <= 0) {
-        this.waiting = () => {
-          this.sendFrom(chunk, offset, callback);
+        this.resumeSending = () => {
+          this.sendChunks(chunk, offset, callback);
         };
         return;
       }
       const bytes = chunk.subarray(offset, offset + length);
-      this.body.send({ ...this.body.identity, bytes, kind: 'body-chunk' });
+      this.options.send({ ...this.options.identity, bytes, kind: 'body-chunk' });
       this.creditBytes -= length;
       offset += length;
     }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -6,12 +6,12 @@
   flagOf,
   settingDefinitions,
   settingNames,
-  variableOf,
+  environmentVariableOf,
 } from './settings/setting-definitions.js';
-export type { GivenSettings, SettingName } from './settings/setting-definitions.js';
+export type { ParsedSettings, SettingName } from './settings/setting-definitions.js';
 export type { HostAndPort, SettingDefinition } from './settings/setting-types.js';
-export { checkSettings, mergeTexts, printSettings } from './settings/settings.js';
-export type { SettingFault, Settings, SettingsResult, SettingTexts } from './settings/settings.js';
+export { checkSettings, mergeSettingTexts, formatSettings } from './settings/settings.js';
+export type { SettingError, Settings, SettingsResult, SettingTexts } from './settings/settings.js';
 export { settingsPage } from './settings/settings-page.js';
-export { faultySettingsExitCode, readStartRequest } from './settings/start-request.js';
+export { invalidSettingsExitCode, readStartRequest } from './settings/start-request.js';
 export type { StartRequest } from './settings/start-request.js';
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -8,8 +8,11 @@
 
 const failureExitCode = 1;
 
-/** Stops the process with a log line: after a broken invariant nothing that it says can be trusted. */
-function exitOnFault(log: Logger): void {
+/**
+ * Logs an uncaught exception and exits: after a violated invariant the state of the process, and
+ * therefore its answers, can't be trusted.
+ */
+function exitOnUncaughtException(log: Logger): void {
   process.on('uncaughtException', (error: NodeJS.ErrnoException) => {
     if (error.code === 'EADDRINUSE') {
       log.error(LogEvent.AddressInUse, { message: error.message });
@@ -20,7 +23,10 @@
   });
 }
 
-/** An address that is taken is a fault of the settings or of a process that still runs. */
+/**
+ * Logs and exits if an address is already in use, which is caused by wrong settings or by a process
+ * that is still running. Rethrows all other errors.
+ */
 function exitWhenAddressInUse(error: unknown, log: Logger): never {
   const { address, code, port } = error as NodeJS.ErrnoException & {
     readonly address?: string;
@@ -52,18 +58,18 @@
 
 async function run(settings: Settings, unknownVariables: readonly string[]): Promise<void> {
   const log = new Logger(settings.logLevel);
-  exitOnFault(log);
+  exitOnUncaughtException(log);
   for (const variable of unknownVariables) {
     log.warn(LogEvent.SettingUnknown, { variable });
   }
   log.info(LogEvent.NodeStarting, { server: settings.serverName });
-  const starting = startNode({
+  const nodePromise = startNode({
     settings,
-    stopped: () => {
-      void starting.then((node) => node.close()).then(() => process.exit(0));
+    onStopped: () => {
+      void nodePromise.then((node) => node.close()).then(() => process.exit(0));
     },
   }).catch((error: unknown) => exitWhenAddressInUse(error, log));
-  const node = await starting;
+  const node = await nodePromise;
   stopOnSignal(node, log, settings.stopGraceMilliseconds);
 }
 
@@ -71,7 +77,7 @@
 const request = readStartRequest(process.argv.slice(2), process.env);
 if (request.kind === 'exit') {
   process.stdout.write(request.output);
-  process.stderr.write(request.errors);
+  process.stderr.write(request.errorOutput);
   process.exitCode = request.code;
 } else {
   await run(request.settings, request.unknownVariables);
--- a/packages/daemon/src/operators/core-change-port.ts
+++ b/packages/daemon/src/operators/core-change-port.ts
@@ -10,12 +10,14 @@
 
 export interface CoreChangePortOptions {
   readonly deliver: (message: CoreMessage) => void;
-  readonly execute: (operation: StoreOperation, deliver: (result: StoreResult) => void) => void;
+  readonly execute: (operation: StoreOperation, onResult: (result: StoreResult) => void) => void;
 }
 
-/** Proposes changes through the core and looks their identifiers up in the store. */
+/**
+ * Proposes configuration changes through the core and looks up the state of changes in the store.
+ */
 export class CoreChangePort implements ChangePort {
-  private readonly pending = new Map<number, (result: ProposalResult) => void>();
+  private readonly pendingProposals = new Map<number, (result: ProposalResult) => void>();
   private nextProposalId = 1;
 
   public constructor(private readonly options: CoreChangePortOptions) {}
@@ -24,14 +26,14 @@
     const proposalId = this.nextProposalId;
     this.nextProposalId += 1;
     return new Promise((resolve) => {
-      this.pending.set(proposalId, resolve);
+      this.pendingProposals.set(proposalId, resolve);
       this.options.deliver({ ...proposal, kind: 'propose-configuration', proposalId });
     });
   }
 
-  public concluded({ proposalId, result }: ProposalConcludedCommand): void {
-    this.pending.get(proposalId)?.(result);
-    this.pending.delete(proposalId);
+  public onProposalConcluded({ proposalId, result }: ProposalConcludedCommand): void {
+    this.pendingProposals.get(proposalId)?.(result);
+    this.pendingProposals.delete(proposalId);
   }
 
   public stateOf(changeId: string): Promise<ChangeState> {
@@ -42,12 +44,12 @@
     });
   }
 
-  /** Nobody can say any more what becomes of the proposals that wait. */
+  /** Resolves all pending proposals as unresolved, since their result can no longer be observed. */
   public close(): void {
-    for (const resolve of this.pending.values()) {
+    for (const resolve of this.pendingProposals.values()) {
       resolve({ kind: 'unresolved' });
     }
-    this.pending.clear();
+    this.pendingProposals.clear();
   }
 }
 
--- a/packages/daemon/src/operators/core-node-view.ts
+++ b/packages/daemon/src/operators/core-node-view.ts
@@ -28,9 +28,12 @@
   readonly keyRecordLimits: { readonly records: number; readonly bytes: number };
 }
 
-/** The state of this node for operators' questions, read from the core and the adapters. */
+/**
+ * Provides the state of this node for questions from operators, read from the core and the
+ * platform client.
+ */
 export class CoreNodeView implements NodeView {
-  private readonly questions = new Map<number, (known: KeyKnownCommand) => void>();
+  private readonly pendingKeyQuestions = new Map<number, (command: KeyKnownCommand) => void>();
   private nextQuestionId = 1;
 
   public constructor(private readonly options: CoreNodeViewOptions) {}
@@ -73,18 +76,18 @@
 
   public budgets(): readonly BudgetUse[] {
     const { clock, core, keyRecordLimits } = this.options;
-    const held = core.parts.homes.recordUsage;
-    const polls = core.pollBudget(clock());
-    const retries = core.parts.engine.retryBudgets();
+    const keyRecordUsage = core.parts.homes.recordUsage;
+    const pollBudgetUse = core.pollBudget(clock());
+    const retryBudgetUses = core.parts.engine.retryBudgets();
     return [
       {
-        allowed: polls.allowedSlotMilliseconds,
+        allowed: pollBudgetUse.allowedSlotMilliseconds,
         budget: 'probe',
         service: this.load()?.service ?? '',
-        spent: polls.spentSlotMilliseconds,
+        spent: pollBudgetUse.spentSlotMilliseconds,
         unit: 'slot-ms',
       },
-      ...retries.map(({ earned, service, spent }) => ({
+      ...retryBudgetUses.map(({ earned, service, spent }) => ({
         allowed: earned,
         budget: 'retry',
         service,
@@ -95,7 +98,7 @@
         allowed: keyRecordLimits[unit],
         budget: 'key-records',
         service: '',
-        spent: held[unit],
+        spent: keyRecordUsage[unit],
         unit,
       })),
     ];
@@ -132,16 +135,16 @@
     const questionId = this.nextQuestionId;
     this.nextQuestionId += 1;
     return new Promise((resolve) => {
-      this.questions.set(questionId, ({ home, state, status }) => {
+      this.pendingKeyQuestions.set(questionId, ({ home, state, status }) => {
         resolve(home === undefined || state === undefined ? undefined : { home, state, status });
       });
       this.options.deliver({ key, kind: 'ask-key', questionId, service });
     });
   }
 
-  /** Takes the answer to a question about a key. */
-  public keyKnown(known: KeyKnownCommand): void {
-    this.questions.get(known.questionId)?.(known);
-    this.questions.delete(known.questionId);
+  /** Handles the answer to a question about a key. */
+  public onKeyKnown(command: KeyKnownCommand): void {
+    this.pendingKeyQuestions.get(command.questionId)?.(command);
+    this.pendingKeyQuestions.delete(command.questionId);
   }
 }
--- a/packages/daemon/src/operators/gauges.ts
+++ b/packages/daemon/src/operators/gauges.ts
@@ -10,10 +10,15 @@
   readonly view: NodeView;
 }
 
-function gaugesOf({ connections, core, store, view }: GaugeSources): readonly GaugeDefinition[] {
-  const probe = (): { readonly allowed: number; readonly spent: number } =>
+function createGaugeDefinitions({
+  connections,
+  core,
+  store,
+  view,
+}: GaugeSources): readonly GaugeDefinition[] {
+  const probeBudget = (): { readonly allowed: number; readonly spent: number } =>
     view.budgets().find(({ budget }) => budget === 'probe') ?? { allowed: 0, spent: 0 };
-  const membersIn = (state: string): number =>
+  const countMembersIn = (state: string): number =>
     view.members().filter((member) => member.state === state).length;
   return [
     {
@@ -39,12 +44,12 @@
     {
       help: 'Slot-milliseconds that measuring the upstream may have taken since the start.',
       name: 'probe_allowed_slot_milliseconds',
-      read: () => probe().allowed,
+      read: () => probeBudget().allowed,
     },
     {
       help: 'Slot-milliseconds that measuring the upstream has taken since the start.',
       name: 'probe_spent_slot_milliseconds',
-      read: () => probe().spent,
+      read: () => probeBudget().spent,
     },
     {
       help: 'Calls in progress that this node makes.',
@@ -79,14 +84,14 @@
     ...['serving', 'warming', 'draining', 'suspect', 'dead', 'left'].map((state) => ({
       help: `Members in state ${state} as this node knows them.`,
       name: `members_${state}`,
-      read: () => membersIn(state),
+      read: () => countMembersIn(state),
     })),
   ];
 }
 
-/** Adds the gauges of a node. */
+/** Registers the gauges of a node. */
 export function registerGauges(metrics: Metrics, sources: GaugeSources): void {
-  for (const gauge of gaugesOf(sources)) {
+  for (const gauge of createGaugeDefinitions(sources)) {
     metrics.addGauge(gauge);
   }
 }
--- a/packages/daemon/src/operators/node-observer.ts
+++ b/packages/daemon/src/operators/node-observer.ts
@@ -5,7 +5,7 @@
 
 import type { ObservedCommand } from '../driver/node-driver.js';
 
-/** Where log lines go. */
+/** Writes the log commands of the core. */
 export interface LogPort {
   command(command: Extract<ObservedCommand, { readonly kind: 'log' }>): void;
 }
@@ -18,12 +18,12 @@
   readonly wallClock: () => number;
 }
 
-/** Turns what the node does into counters, journal entries and log lines. */
+/** Records requests and commands of the core as counters, journal entries and log lines. */
 export class NodeObserver {
   public constructor(private readonly options: NodeObserverOptions) {}
 
-  /** A command of the core that concerns observation only. */
-  public command(
+  /** Records a counter, journal or log command of the core. */
+  public onCommand(
     command: Extract<ObservedCommand, { readonly kind: 'count' | 'journal' | 'log' }>,
   ): void {
     switch (command.kind) {
@@ -38,8 +38,12 @@
     }
   }
 
-  /** A request that was accepted from a caller. */
-  public received({ deadlineMilliseconds, head, requestClass }: CallerRequestMessage): void {
+  /** Records a request that was accepted from a caller. */
+  public onRequestReceived({
+    deadlineMilliseconds,
+    head,
+    requestClass,
+  }: CallerRequestMessage): void {
     const { method, requestId, service, tenant } = head;
     const step = {
       deadlineMilliseconds,
@@ -52,8 +56,8 @@
     this.options.journal.record(requestId, step, this.options.wallClock());
   }
 
-  /** A request that got its final outcome. */
-  public finished(request: FinishedRequest): void {
+  /** Records the final outcome of a request. */
+  public onRequestFinished(request: FinishedRequest): void {
     const { milliseconds, outcome, refusedDetail: detail, requestId, service, tenant } = request;
     const { journal, metrics, refusals, wallClock } = this.options;
     const now = wallClock();
--- a/packages/daemon/src/settings/setting-definitions.ts
+++ b/packages/daemon/src/settings/setting-definitions.ts
@@ -10,7 +10,7 @@
   type SettingDefinition,
 } from './setting-types.js';
 
-/** Every setting of the daemon, in the order in which it is printed and documented. */
+/** All settings of the daemon, in the order in which they are printed and documented. */
 export const settingDefinitions = {
   serverName: nameText({
     documentation:
@@ -119,25 +119,27 @@
   }),
 } as const satisfies Readonly<Record<string, SettingDefinition<unknown>>>;
 
-/** Name of a setting. */
 export type SettingName = keyof typeof settingDefinitions;
 
 type ValueOf<Definition> = Definition extends SettingDefinition<infer Value> ? Value : never;
 
-/** The values of all settings as they were given. */
-export type GivenSettings = {
+/** The parsed values of all settings, before missing advertised addresses are filled in. */
+export type ParsedSettings = {
   readonly [Name in SettingName]: ValueOf<(typeof settingDefinitions)[Name]>;
 };
 
-/** All names in order. */
+/** The names of all settings, in the order of their definitions. */
 export const settingNames = Object.keys(settingDefinitions) as readonly SettingName[];
 
-/** The flag of a setting: `leaseMilliseconds` has `--lease-milliseconds`. */
+/**
+ * Returns the command-line flag of a setting, such as `--lease-milliseconds` for
+ * `leaseMilliseconds`.
+ */
 export function flagOf(name: SettingName): string {
   return `--${name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`)}`;
 }
 
-/** The environment variable of a setting, such as `PERIDOTSPRING_LEASE_MILLISECONDS`. */
-export function variableOf(name: SettingName): string {
+/** Returns the environment variable of a setting, such as `PERIDOTSPRING_LEASE_MILLISECONDS`. */
+export function environmentVariableOf(name: SettingName): string {
   return `PERIDOTSPRING_${name.replace(/[A-Z]/g, (letter) => `_${letter}`).toUpperCase()}`;
 }
--- a/packages/daemon/src/settings/setting-types.ts
+++ b/packages/daemon/src/settings/setting-types.ts
@@ -1,32 +1,32 @@
 import { z } from 'zod';
 
-/** A setting: how its text is read, and what operators have to know of it. */
+/** Definition of a setting: how its text is parsed, and its documentation for operators. */
 export interface SettingDefinition<Value> {
-  /** Reads the text of a flag or of an environment variable. */
+  /** Parses the text of a flag or of an environment variable. */
   readonly schema: z.ZodType<Value>;
-  /** Text that is read when the setting is not given; undefined makes the setting required. */
+  /** Text that is parsed when the setting is not given; undefined makes the setting required. */
   readonly defaultText: string | undefined;
   readonly unit: string;
   readonly range: string;
   readonly documentation: string;
-  /** Secrets are never printed. */
+  /** The values of secrets are never printed. */
   readonly isSecret: boolean;
 }
 
-interface Description {
+interface SettingDescription {
   readonly documentation: string;
   readonly default?: string;
 }
 
-/** A whole number with a unit and a range. */
+/** Defines a setting for an integer with a unit and a range. */
 export function wholeNumber(
   unit: string,
   minimum: number,
   maximum: number,
-  { default: defaultText, documentation }: Description,
+  { default: defaultText, documentation }: SettingDescription,
 ): SettingDefinition<number> {
   const range = `${minimum} to ${maximum}`;
-  const fault = `must be a whole number of ${unit} from ${range}`;
+  const errorMessage = `must be a whole number of ${unit} from ${range}`;
   return {
     defaultText,
     documentation,
@@ -34,15 +34,17 @@
     range,
     schema: z
       .string()
-      .regex(/^\d{1,15}$/, fault)
+      .regex(/^\d{1,15}$/, errorMessage)
       .transform(Number)
-      .refine((value) => value >= minimum && value <= maximum, fault),
+      .refine((value) => value >= minimum && value <= maximum, errorMessage),
     unit,
   };
 }
 
-/** A name of at most 128 characters that is safe in addresses, keys and logs. */
-export function nameText(description: Description): SettingDefinition<string> {
+/**
+ * Defines a setting for a name of at most 128 characters that is safe in addresses, keys and logs.
+ */
+export function nameText(description: SettingDescription): SettingDefinition<string> {
   const range = '1 to 128 letters, digits, dots, underscores and hyphens';
   return {
     defaultText: description.default,
@@ -54,16 +56,16 @@
   };
 }
 
-/** Host and port of a `host:port` text. */
+/** Parsed form of `host:port`. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
 }
 
-const addressForm = /^(?:\[([0-9A-Fa-f:.]{2,45})\]|([A-Za-z0-9.-]{1,253})):(\d{1,5})$/;
+const addressPattern = /^(?:\[([0-9A-Fa-f:.]{2,45})\]|([A-Za-z0-9.-]{1,253})):(\d{1,5})$/;
 
 function parseAddress(text: string): HostAndPort | undefined {
-  const [, ipv6, name, port] = addressForm.exec(text) ?? [];
+  const [, ipv6, name, port] = addressPattern.exec(text) ?? [];
   const host = ipv6 ?? name;
   const number = Number(port);
   if (host === undefined || !(number >= 0 && number <= 65_535)) return undefined;
@@ -80,8 +82,8 @@
   return z.NEVER;
 });
 
-/** A `host:port`. */
-export function address(description: Description): SettingDefinition<HostAndPort> {
+/** Defines a setting for a required address, or one with a default, in the form `host:port`. */
+export function address(description: SettingDescription): SettingDefinition<HostAndPort> {
   return {
     defaultText: description.default,
     documentation: description.documentation,
@@ -92,7 +94,7 @@
   };
 }
 
-/** A `host:port` that may be left out. */
+/** Defines a setting for an optional address in the form `host:port`. */
 export function optionalAddress(documentation: string): SettingDefinition<HostAndPort | undefined> {
   return {
     ...address({ documentation }),
@@ -101,37 +103,37 @@
   };
 }
 
-const secretForm = /^[\x21-\x7e]{16,256}$/;
+const secretPattern = /^[\x21-\x7e]{16,256}$/;
 const secretRange = '16 to 256 visible ASCII characters';
 
-/** A secret that has to be given. */
+/** Defines a setting for a required secret. */
 export function secret(documentation: string): SettingDefinition<string> {
   return {
     defaultText: undefined,
     documentation,
     isSecret: true,
     range: secretRange,
-    schema: z.string().regex(secretForm, `must have ${secretRange}`),
+    schema: z.string().regex(secretPattern, `must have ${secretRange}`),
     unit: 'secret',
   };
 }
 
-/** A secret that may be left out. */
+/** Defines a setting for an optional secret. */
 export function optionalSecret(documentation: string): SettingDefinition<string | undefined> {
   return {
     ...secret(documentation),
     defaultText: '',
     schema: z
       .string()
-      .refine((text) => text === '' || secretForm.test(text), `must have ${secretRange}`)
+      .refine((text) => text === '' || secretPattern.test(text), `must have ${secretRange}`)
       .transform((text) => (text === '' ? undefined : text)),
   };
 }
 
-/** One of a list of words. */
+/** Defines a setting whose value is one of a list of words. */
 export function choice<Word extends string>(
   words: readonly [Word, ...Word[]],
-  description: Description,
+  description: SettingDescription,
 ): SettingDefinition<Word> {
   return {
     defaultText: description.default,
--- a/packages/daemon/src/settings/settings-page.ts
+++ b/packages/daemon/src/settings/settings-page.ts
@@ -2,7 +2,7 @@
   flagOf,
   settingDefinitions,
   settingNames,
-  variableOf,
+  environmentVariableOf,
   type SettingName,
 } from './setting-definitions.js';
 
@@ -17,13 +17,13 @@
 Secrets belong in the environment: flags can be read by every user of the machine.
 `;
 
-function defaultOf(name: SettingName): string {
+function describeDefault(name: SettingName): string {
   const { defaultText } = settingDefinitions[name];
   if (defaultText === undefined) return 'required';
   return defaultText === '' ? 'none' : `\`${defaultText}\``;
 }
 
-function section(name: SettingName): string {
+function renderSection(name: SettingName): string {
   const { documentation, range, unit } = settingDefinitions[name];
   return [
     `## ${name}`,
@@ -31,15 +31,15 @@
     documentation,
     '',
     `- Flag: \`${flagOf(name)}\``,
-    `- Environment: \`${variableOf(name)}\``,
+    `- Environment: \`${environmentVariableOf(name)}\``,
     `- Unit: ${unit}`,
     `- Range: ${range}`,
-    `- Default: ${defaultOf(name)}`,
+    `- Default: ${describeDefault(name)}`,
     '',
   ].join('\n');
 }
 
-/** The page docs/settings.md, generated from the definitions. */
+/** Generates the page docs/settings.md from the definitions. */
 export function settingsPage(): string {
-  return [introduction, ...settingNames.map(section)].join('\n');
+  return [introduction, ...settingNames.map(renderSection)].join('\n');
 }
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -2,49 +2,52 @@
   flagOf,
   settingDefinitions,
   settingNames,
-  variableOf,
-  type GivenSettings,
+  environmentVariableOf,
+  type ParsedSettings,
   type SettingName,
 } from './setting-definitions.js';
 import type { HostAndPort } from './setting-types.js';
 
-/** All settings of the daemon; every advertised address is filled in. */
-export interface Settings extends GivenSettings {
+/** All settings of the daemon, with all advertised addresses filled in. */
+export interface Settings extends ParsedSettings {
   readonly callerAdvertisedAddress: HostAndPort;
   readonly operatorAdvertisedAddress: HostAndPort;
   readonly peerAdvertisedAddress: HostAndPort;
   readonly upstreamAdvertisedAddress: HostAndPort;
 }
 
-/** What is wrong with one setting. Values of secrets are never part of it. */
-export interface SettingFault {
+/** An error in one setting. The message never contains the value of a secret. */
+export interface SettingError {
   readonly setting: SettingName;
   readonly message: string;
 }
 
-/** The settings, or everything that is wrong with them. */
+/** The valid settings, or all errors in them. */
 export type SettingsResult =
   | { readonly kind: 'valid'; readonly settings: Settings }
-  | { readonly kind: 'faulty'; readonly faults: readonly SettingFault[] };
+  | { readonly kind: 'faulty'; readonly errors: readonly SettingError[] };
 
-/** Texts of the settings that were given. */
+/** The unparsed texts of the settings that were given. */
 export type SettingTexts = Readonly<Partial<Record<SettingName, string>>>;
 
-/** Takes the flag of each setting, else its environment variable. */
-export function mergeTexts(
+/** Merges flags and environment variables; a flag takes precedence over the variable. */
+export function mergeSettingTexts(
   flags: SettingTexts,
   environment: Readonly<Record<string, string | undefined>>,
 ): SettingTexts {
   const texts: Partial<Record<SettingName, string>> = {};
   for (const name of settingNames) {
-    const text = flags[name] ?? environment[variableOf(name)];
+    const text = flags[name] ?? environment[environmentVariableOf(name)];
     if (text !== undefined) texts[name] = text;
   }
   return texts;
 }
 
-function fault(setting: SettingName, problem: string): SettingFault {
-  return { message: `${setting} (${flagOf(setting)}, ${variableOf(setting)}) ${problem}`, setting };
+function createSettingError(setting: SettingName, problem: string): SettingError {
+  return {
+    message: `${setting} (${flagOf(setting)}, ${environmentVariableOf(setting)}) ${problem}`,
+    setting,
+  };
 }
 
 function describeValue(name: SettingName, text: string): string {
@@ -52,70 +55,80 @@
   return `, not ${JSON.stringify(text.slice(0, 80))}`;
 }
 
-function readOne(name: SettingName, text: string | undefined): { value: unknown } | SettingFault {
+function parseSetting(
+  name: SettingName,
+  text: string | undefined,
+): { value: unknown } | SettingError {
   const definition = settingDefinitions[name];
-  const used = text ?? definition.defaultText;
-  if (used === undefined) return fault(name, 'is required');
-  const result = definition.schema.safeParse(used);
+  const effectiveText = text ?? definition.defaultText;
+  if (effectiveText === undefined) return createSettingError(name, 'is required');
+  const result = definition.schema.safeParse(effectiveText);
   if (result.success) return { value: result.data };
-  // The inner faults of an optional address are the faults of its alternatives.
+  // For a union, such as an optional address, the first issue has a generic message; the issues of
+  // its alternatives are nested in it.
   const message = result.error.issues[0]?.message ?? 'is not valid';
   const problem = message.startsWith('must') ? message : `must be ${definition.unit}`;
-  return fault(name, `${problem}${describeValue(name, used)}`);
+  return createSettingError(name, `${problem}${describeValue(name, effectiveText)}`);
 }
 
-/** Hosts that stand for every address of the machine. */
-const wildcards: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
+/** Bind hosts that mean all addresses of the instance. */
+const wildcardHosts: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
 
-function advertise(
+function advertisedAddressOf(
   given: HostAndPort | undefined,
   bind: HostAndPort,
   peerHost: string,
 ): HostAndPort {
   if (given !== undefined) return given;
-  return wildcards.has(bind.host) ? { host: peerHost, port: bind.port } : bind;
+  return wildcardHosts.has(bind.host) ? { host: peerHost, port: bind.port } : bind;
 }
 
-function crossFaults(given: GivenSettings): readonly SettingFault[] {
-  const faults: SettingFault[] = [];
+function findCrossSettingErrors(given: ParsedSettings): readonly SettingError[] {
+  const errors: SettingError[] = [];
   const { peerAdvertisedAddress, peerBindAddress } = given;
-  if (peerAdvertisedAddress === undefined && wildcards.has(peerBindAddress.host)) {
-    faults.push(fault('peerAdvertisedAddress', 'is required with a wildcard peer bind address'));
+  if (peerAdvertisedAddress === undefined && wildcardHosts.has(peerBindAddress.host)) {
+    errors.push(
+      createSettingError('peerAdvertisedAddress', 'is required with a wildcard peer bind address'),
+    );
   }
-  if (peerAdvertisedAddress !== undefined && wildcards.has(peerAdvertisedAddress.host)) {
-    faults.push(fault('peerAdvertisedAddress', 'must be an address that other nodes can reach'));
+  if (peerAdvertisedAddress !== undefined && wildcardHosts.has(peerAdvertisedAddress.host)) {
+    errors.push(
+      createSettingError('peerAdvertisedAddress', 'must be an address that other nodes can reach'),
+    );
   }
-  // A key must not be forgotten while an attempt that carries it may still arrive.
+  // A key must not be forgotten while a request with it may still arrive.
   if (given.retentionMilliseconds < 4 * given.leaseMilliseconds) {
-    faults.push(fault('retentionMilliseconds', 'must be at least 4 times leaseMilliseconds'));
+    errors.push(
+      createSettingError('retentionMilliseconds', 'must be at least 4 times leaseMilliseconds'),
+    );
   }
   for (const [current, previous] of [
     ['peerSecret', 'previousPeerSecret'],
     ['operatorSecret', 'previousOperatorSecret'],
   ] as const) {
     if (given[current] === given[previous]) {
-      faults.push(fault(previous, `must differ from ${current}`));
+      errors.push(createSettingError(previous, `must differ from ${current}`));
     }
   }
-  return faults;
+  return errors;
 }
 
-function complete(given: GivenSettings): Settings {
+function fillAdvertisedAddresses(given: ParsedSettings): Settings {
   const peer = given.peerAdvertisedAddress ?? given.peerBindAddress;
   return {
     ...given,
-    callerAdvertisedAddress: advertise(
+    callerAdvertisedAddress: advertisedAddressOf(
       given.callerAdvertisedAddress,
       given.callerBindAddress,
       peer.host,
     ),
-    operatorAdvertisedAddress: advertise(
+    operatorAdvertisedAddress: advertisedAddressOf(
       given.operatorAdvertisedAddress,
       given.operatorBindAddress,
       peer.host,
     ),
     peerAdvertisedAddress: peer,
-    upstreamAdvertisedAddress: advertise(
+    upstreamAdvertisedAddress: advertisedAddressOf(
       given.upstreamAdvertisedAddress,
       given.upstreamBindAddress,
       peer.host,
@@ -123,35 +136,35 @@
   };
 }
 
-/** Checks all settings and reports every fault at once. */
+/** Validates all settings and reports all errors at once. */
 export function checkSettings(texts: SettingTexts): SettingsResult {
-  const faults: SettingFault[] = [];
+  const errors: SettingError[] = [];
   const values: Partial<Record<SettingName, unknown>> = {};
   for (const name of settingNames) {
-    const result = readOne(name, texts[name]);
-    if ('setting' in result) faults.push(result);
+    const result = parseSetting(name, texts[name]);
+    if ('setting' in result) errors.push(result);
     else values[name] = result.value;
   }
-  if (faults.length > 0) return { faults, kind: 'faulty' };
-  const given = values as GivenSettings;
-  const crossing = crossFaults(given);
-  if (crossing.length > 0) return { faults: crossing, kind: 'faulty' };
-  return { kind: 'valid', settings: complete(given) };
+  if (errors.length > 0) return { errors, kind: 'faulty' };
+  const given = values as ParsedSettings;
+  const crossSettingErrors = findCrossSettingErrors(given);
+  if (crossSettingErrors.length > 0) return { errors: crossSettingErrors, kind: 'faulty' };
+  return { kind: 'valid', settings: fillAdvertisedAddresses(given) };
 }
 
-function printAddress({ host, port }: HostAndPort): string {
+function formatAddress({ host, port }: HostAndPort): string {
   return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
 }
 
-/** Prints the value of a setting; a secret only as given or not given. */
-function printValue(name: SettingName, settings: Settings): string {
+/** Formats the value of a setting; for a secret, only whether it is set. */
+function formatSettingValue(name: SettingName, settings: Settings): string {
   const value = settings[name];
   if (settingDefinitions[name].isSecret) return value === undefined ? '(none)' : '(set)';
   if (value === undefined) return '(none)';
-  return typeof value === 'object' ? printAddress(value) : String(value);
+  return typeof value === 'object' ? formatAddress(value) : String(value);
 }
 
-/** All settings, one `name=value` a line, without secrets. */
-export function printSettings(settings: Settings): string {
-  return settingNames.map((name) => `${name}=${printValue(name, settings)}`).join('\n');
+/** Formats all settings as one `name=value` per line, without the values of secrets. */
+export function formatSettings(settings: Settings): string {
+  return settingNames.map((name) => `${name}=${formatSettingValue(name, settings)}`).join('\n');
 }
--- a/packages/daemon/src/settings/start-request.ts
+++ b/packages/daemon/src/settings/start-request.ts
@@ -4,40 +4,43 @@
   flagOf,
   settingDefinitions,
   settingNames,
-  variableOf,
+  environmentVariableOf,
   type SettingName,
 } from './setting-definitions.js';
 import {
   checkSettings,
-  mergeTexts,
-  printSettings,
+  mergeSettingTexts,
+  formatSettings,
   type Settings,
   type SettingTexts,
 } from './settings.js';
 
-/** Exit code for faulty settings; 1 is left to faults while running. */
-export const faultySettingsExitCode = 2;
+/** Exit code for invalid settings; 1 is reserved for failures at run time. */
+export const invalidSettingsExitCode = 2;
 
-/** What the command line and the environment ask for. */
+/** What the process should do according to the command line and the environment. */
 export type StartRequest =
   | {
       readonly kind: 'start';
       readonly settings: Settings;
-      /** Variables with the daemon's prefix that no setting has; probably misspelt. */
+      /**
+       * Environment variables with the prefix of the daemon that belong to no setting, probably
+       * misspelled.
+       */
       readonly unknownVariables: readonly string[];
     }
   | {
       readonly kind: 'exit';
       readonly code: number;
       readonly output: string;
-      readonly errors: string;
+      readonly errorOutput: string;
     };
 
 interface ParsedFlags {
   readonly texts: SettingTexts;
   readonly checkSettings: boolean;
   readonly printSettings: boolean;
-  readonly faults: readonly string[];
+  readonly errors: readonly string[];
 }
 
 function createCommand(write: (text: string) => void): Command {
@@ -51,41 +54,48 @@
     .option('--print-settings', 'print all settings without secrets and exit');
   for (const name of settingNames) {
     const { defaultText, documentation, unit } = settingDefinitions[name];
-    const shown = defaultText === undefined ? 'required' : `default: ${defaultText || 'none'}`;
+    const defaultDescription =
+      defaultText === undefined ? 'required' : `default: ${defaultText || 'none'}`;
     command.addOption(
-      // The value is optional for commander, so that its absence is reported with the other faults.
-      new Option(`${flagOf(name)} [${unit}]`, `${documentation} (${shown}; ${variableOf(name)})`),
+      // The value is optional for commander, so that a missing value is reported together with all
+      // other errors.
+      new Option(
+        `${flagOf(name)} [${unit}]`,
+        `${documentation} (${defaultDescription}; ${environmentVariableOf(name)})`,
+      ),
     );
   }
   return command;
 }
 
-/** Names unknown flags. Their values are left out, because a misspelt flag may carry a secret. */
-function describeUnknown(argumentList: readonly string[]): string[] {
-  const faults: string[] = [];
-  let isValue = false;
+/**
+ * Reports unknown flags by name. Values are omitted, because a misspelled flag may carry a secret.
+ */
+function describeUnknownArguments(argumentList: readonly string[]): string[] {
+  const errors: string[] = [];
+  let isFlagValue = false;
   for (const text of argumentList) {
     const isFlag = text.startsWith('--');
-    if (isFlag) faults.push(`there is no flag ${text.split('=')[0] ?? ''}`);
-    else if (!isValue) faults.push('there is an argument that belongs to no flag');
-    isValue = isFlag && !text.includes('=');
+    if (isFlag) errors.push(`unknown flag ${text.split('=')[0] ?? ''}`);
+    else if (!isFlagValue) errors.push('unexpected argument that is not the value of a flag');
+    isFlagValue = isFlag && !text.includes('=');
   }
-  return faults;
+  return errors;
 }
 
 function parseFlags(command: Command, argumentList: readonly string[]): ParsedFlags {
   command.parse([...argumentList], { from: 'user' });
   const options: Readonly<Record<string, unknown>> = command.opts();
   const texts: Partial<Record<SettingName, string>> = {};
-  const faults = describeUnknown(command.args);
+  const errors = describeUnknownArguments(command.args);
   for (const name of settingNames) {
     const text = options[name];
     if (typeof text === 'string') texts[name] = text;
-    if (text === true) faults.push(`${name} (${flagOf(name)}) needs a value`);
+    if (text === true) errors.push(`${name} (${flagOf(name)}) needs a value`);
   }
   return {
     checkSettings: options.checkSettings === true,
-    faults,
+    errors,
     printSettings: options.printSettings === true,
     texts,
   };
@@ -94,41 +104,45 @@
 function findUnknownVariables(
   environment: Readonly<Record<string, string | undefined>>,
 ): readonly string[] {
-  const known = new Set(settingNames.map(variableOf));
+  const knownVariables = new Set(settingNames.map(environmentVariableOf));
   return Object.keys(environment)
-    .filter((variable) => variable.startsWith('PERIDOTSPRING_') && !known.has(variable))
+    .filter((variable) => variable.startsWith('PERIDOTSPRING_') && !knownVariables.has(variable))
     .sort();
 }
 
-function exit(code: number, output: string, errors = ''): StartRequest {
-  return { code, errors, kind: 'exit', output };
+function createExitRequest(code: number, output: string, errorOutput = ''): StartRequest {
+  return { code, errorOutput, kind: 'exit', output };
 }
 
-/** Reads flags and environment. `argumentList` is without the program's name. */
+/** Parses flags and environment. `argumentList` doesn't include the name of the program. */
 export function readStartRequest(
   argumentList: readonly string[],
   environment: Readonly<Record<string, string | undefined>>,
 ): StartRequest {
-  let written = '';
-  const command = createCommand((text) => (written += text));
+  let commandOutput = '';
+  const command = createCommand((text) => (commandOutput += text));
   let flags: ParsedFlags;
   try {
     flags = parseFlags(command, argumentList);
   } catch (error) {
     if (!(error instanceof CommanderError)) throw error;
-    return error.exitCode === 0 ? exit(0, written) : exit(faultySettingsExitCode, '', written);
+    return error.exitCode === 0
+      ? createExitRequest(0, commandOutput)
+      : createExitRequest(invalidSettingsExitCode, '', commandOutput);
   }
-  const result = checkSettings(mergeTexts(flags.texts, environment));
-  const faults = [...flags.faults];
-  if (result.kind === 'faulty') faults.push(...result.faults.map(({ message }) => message));
-  if (faults.length > 0 || result.kind === 'faulty') {
-    return exit(faultySettingsExitCode, '', `${faults.join('\n')}\n`);
+  const result = checkSettings(mergeSettingTexts(flags.texts, environment));
+  const errors = [...flags.errors];
+  if (result.kind === 'faulty') errors.push(...result.errors.map(({ message }) => message));
+  if (errors.length > 0 || result.kind === 'faulty') {
+    return createExitRequest(invalidSettingsExitCode, '', `${errors.join('\n')}\n`);
   }
-  if (flags.printSettings) return exit(0, `${printSettings(result.settings)}\n`);
+  if (flags.printSettings) return createExitRequest(0, `${formatSettings(result.settings)}\n`);
   const unknownVariables = findUnknownVariables(environment);
   if (flags.checkSettings) {
-    const warnings = unknownVariables.map((variable) => `no setting is called ${variable}\n`);
-    return exit(0, 'the settings are valid\n', warnings.join(''));
+    const warnings = unknownVariables.map(
+      (variable) => `unknown environment variable ${variable}\n`,
+    );
+    return createExitRequest(0, 'the settings are valid\n', warnings.join(''));
   }
   return { kind: 'start', settings: result.settings, unknownVariables };
 }
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -29,7 +29,7 @@
 import { BodyRelay } from './driver/body-relay.js';
 import { NodeDriver } from './driver/node-driver.js';
 import type { ObservedCommand } from './driver/node-driver.js';
-import { createIdentity, hostAndPort, requestIdPrefix } from './node-identity.js';
+import { createIdentity, formatHostAndPort, requestIdPrefix } from './node-identity.js';
 import { Logger } from './logging/logger.js';
 import { LogEvent } from './logging/log-event.js';
 import { registerGauges } from './operators/gauges.js';
@@ -38,26 +38,28 @@
 import { NodeObserver } from './operators/node-observer.js';
 import type { Settings } from './settings/settings.js';
 
+/** Request bodies up to this size are buffered in full, so that the request can be retried. */
 const heldBodyBytes = 65_536;
+/** Maximum size of the body of a non-idempotent request. */
 const keyedBodyBytes = 1_048_576;
 const headersTimeoutMilliseconds = 10_000;
 const requestTimeoutMilliseconds = 120_000;
 
-/** A node that runs, as the process sees it. */
+/** Handle of a started node. */
 export interface RunningNode {
   readonly callerPort: number;
-  /** Begins a planned stop; `stopped` of the options follows when nothing is in progress. */
+  /** Starts a planned stop; `NodeOptions.onStopped` is called once no request is in progress. */
   stop(): void;
   close(): Promise<void>;
 }
 
 export interface NodeOptions {
   readonly settings: Settings;
-  readonly stopped: () => void;
+  readonly onStopped: () => void;
 }
 
-/** Creates every part of a node, connects them and starts to listen. The only module that does so. */
-export async function startNode({ settings, stopped }: NodeOptions): Promise<RunningNode> {
+/** Creates and connects all parts of a node and starts listening. No other module wires them. */
+export async function startNode({ settings, onStopped }: NodeOptions): Promise<RunningNode> {
   const clock = (): ClockReading => ({ monotonic: performance.now(), wall: Date.now() });
   const log = new Logger(settings.logLevel);
   const identity = createIdentity(settings, clock().wall);
@@ -71,63 +73,76 @@
       if (isReachable) log.info(LogEvent.PlatformAnswersAgain);
       else log.warn(LogEvent.PlatformUnreachable);
     },
-    url: `http://${hostAndPort(settings.platformAddress)}`,
+    url: `http://${formatHostAndPort(settings.platformAddress)}`,
   });
-  const parts = createOperatorParts(settings, core, identity, store, log, clock, () => ports);
+  const operatorParts = createOperatorParts(
+    settings,
+    core,
+    identity,
+    store,
+    log,
+    clock,
+    () => networkParts,
+  );
   const upstream = new UpstreamClient((message) => {
-    ports.driver.deliver(message);
+    networkParts.driver.deliver(message);
   });
-  const ports = createPorts({
+  const networkParts = createNetworkParts({
     clock,
     core,
     identity,
     log,
-    parts,
+    operatorParts,
     settings,
-    stopped,
+    onStopped,
     store,
     upstream,
   });
   const announcements = new AnnouncementServer((message) => {
-    announced(message, upstream, ports.driver, log);
+    onAnnouncement(message, upstream, networkParts.driver, log);
   });
   const parser = new WorkerParser();
   const operators = new OperatorServer({
-    backend: parts.backend,
-    metrics: parts.metrics,
+    backend: operatorParts.backend,
+    metrics: operatorParts.metrics,
     parser,
     secrets: { current: settings.operatorSecret, previous: settings.previousOperatorSecret },
   });
-  registerGauges(parts.metrics, { connections: ports.connections, core, store, view: parts.view });
-  await ports.connections.listen();
-  const callerPort = await ports.callers.listen();
+  registerGauges(operatorParts.metrics, {
+    connections: networkParts.connections,
+    core,
+    store,
+    view: operatorParts.view,
+  });
+  await networkParts.connections.listen();
+  const callerPort = await networkParts.callers.listen();
   await announcements.listen(settings.upstreamBindAddress.port, settings.upstreamBindAddress.host);
   await operators.listen(settings.operatorBindAddress.host, settings.operatorBindAddress.port);
-  ports.driver.start();
+  networkParts.driver.start();
   log.info(LogEvent.NodeStarted, {
-    callers: hostAndPort(settings.callerAdvertisedAddress),
+    callers: formatHostAndPort(settings.callerAdvertisedAddress),
     incarnation: identity.incarnation,
     server: identity.server,
   });
   return {
     callerPort,
     close: async () => {
-      ports.driver.close();
-      parts.changes.close();
-      parts.gatherer.close();
+      networkParts.driver.close();
+      operatorParts.changes.close();
+      operatorParts.gatherer.close();
       parser.close();
       upstream.close();
       store.close();
       await Promise.all([
         announcements.close(),
         operators.close(),
-        ports.callers.close(),
-        ports.connections.close(),
+        networkParts.callers.close(),
+        networkParts.connections.close(),
       ]);
     },
     stop: () => {
       log.info(LogEvent.NodeStopping);
-      ports.driver.deliver({ kind: 'stop' });
+      networkParts.driver.deliver({ kind: 'stop' });
     },
   };
 }
@@ -160,7 +175,7 @@
   store: PlatformStore,
   log: Logger,
   clock: () => ClockReading,
-  ports: () => Ports,
+  networkParts: () => NetworkParts,
 ): OperatorParts {
   const metrics = new Metrics();
   const journal = new RequestJournal();
@@ -171,7 +186,7 @@
     clock,
     core,
     deliver: (message) => {
-      ports().driver.deliver(message);
+      networkParts().driver.deliver(message);
     },
     identity,
     keyRecordLimits: { bytes: settings.keyRecordBytes, records: settings.keyRecords },
@@ -179,7 +194,7 @@
   });
   const changes = new CoreChangePort({
     deliver: (message) => {
-      ports().driver.deliver(message);
+      networkParts().driver.deliver(message);
     },
     execute: (operation, deliver) => {
       store.execute(operation, deliver);
@@ -190,7 +205,7 @@
       const address = core.parts.membership.member(server)?.peerAddress;
       return (
         address !== undefined &&
-        ports().connections.send(server, address, frame) === SendResult.Accepted
+        networkParts().connections.send(server, address, frame) === SendResult.Accepted
       );
     },
     servers: () =>
@@ -202,26 +217,26 @@
   return { backend, changes, gatherer, metrics, observer, view };
 }
 
-interface Ports {
+interface NetworkParts {
   readonly callers: CallerServer;
   readonly connections: NodeConnections;
   readonly driver: NodeDriver;
 }
 
-interface PortOptions {
+interface NetworkPartOptions {
   readonly clock: () => ClockReading;
   readonly core: NodeCore;
   readonly identity: NodeIdentity;
   readonly log: Logger;
-  readonly parts: OperatorParts;
+  readonly operatorParts: OperatorParts;
   readonly settings: Settings;
-  readonly stopped: () => void;
+  readonly onStopped: () => void;
   readonly store: PlatformStore;
   readonly upstream: UpstreamClient;
 }
 
-function createPorts(options: PortOptions): Ports {
-  const { clock, core, identity, parts, settings, store, upstream } = options;
+function createNetworkParts(options: NetworkPartOptions): NetworkParts {
+  const { clock, core, identity, operatorParts, settings, store, upstream } = options;
   const connections = createConnections(options, () => driver);
   const callers = new CallerServer({
     bindHost: settings.callerBindAddress.host,
@@ -231,12 +246,12 @@
     defaultTenant: settings.defaultTenant,
     deliver: (message: CallerGoneMessage | CallerRequestMessage) => {
       if (message.kind === 'caller-request') {
-        parts.observer.received(message);
+        operatorParts.observer.onRequestReceived(message);
       }
       driver.deliver(message);
     },
     onFinished: (request: FinishedRequest) => {
-      parts.observer.finished(request);
+      operatorParts.observer.onRequestFinished(request);
     },
     isStopping: () => core.isStopping,
     limits: {
@@ -252,26 +267,26 @@
     requestIdPrefix: requestIdPrefix(identity),
   });
   const relay = new BodyRelay({
-    callerBody: (requestNumber) => callers.requestBodyStream(requestNumber),
-    callerSink: (requestNumber) => callers.responseStream(requestNumber),
-    finished: (message) => {
+    callerRequestBody: (requestNumber) => callers.requestBodyStream(requestNumber),
+    callerResponseSink: (requestNumber) => callers.responseStream(requestNumber),
+    onFinished: (message) => {
       driver.deliver(message);
     },
     sendFrame: (server, frame) => {
       connections.send(server, core.parts.membership.member(server)?.peerAddress ?? '', frame);
     },
-    upstreamAnswer: (executionId) => upstream.responseBody(executionId),
+    upstreamResponseBody: (executionId) => upstream.responseBody(executionId),
   });
   const driver: NodeDriver = new NodeDriver({
     callers,
     clock,
     connections,
     core,
-    observe: (command) => {
-      observe(command, options);
+    onObservedCommand: (command) => {
+      handleObservedCommand(command, options);
     },
-    operatorFrame: (from, frame) => {
-      answerOperator(from, frame, parts, connections);
+    onOperatorFrame: (from, frame) => {
+      handleOperatorFrame(from, frame, operatorParts, connections);
     },
     relay,
     store,
@@ -281,7 +296,7 @@
 }
 
 function createConnections(
-  { identity, log, parts, settings }: PortOptions,
+  { identity, log, operatorParts, settings }: NetworkPartOptions,
   driver: () => NodeDriver,
 ): NodeConnections {
   return new NodeConnections({
@@ -291,22 +306,27 @@
     events: {
       onDrained: () => undefined,
       onFrame: (from, frame) => {
-        driver().frame(from, frame);
+        driver().onFrame(from, frame);
       },
       onConnectionLost: (server, reason, detail) => {
-        // The end of an unused connection is no fault; a busy fleet has many of them.
+        // Closing an idle connection is not an error, and a busy cluster closes many of them.
         const level = reason === 'idle' ? 'debug' : 'info';
         log[level](LogEvent.PeerLost, { detail, reason, server });
-        parts.gatherer.peerLost(server);
-        driver().peerLost(server);
+        operatorParts.gatherer.peerLost(server);
+        driver().onPeerLost(server);
       },
       onConnectionRejected: (reason, detail) => {
         log.info(LogEvent.PeerRejected, { detail, reason });
         const labels = { reason };
-        parts.metrics.count({ by: 1, counter: 'peer_connections_rejected', kind: 'count', labels });
+        operatorParts.metrics.count({
+          by: 1,
+          counter: 'peer_connections_rejected',
+          kind: 'count',
+          labels,
+        });
       },
       onUnsent: (server, frames) => {
-        driver().unsent(server, frames);
+        driver().onFramesNotSent(server, frames);
       },
     },
     identity,
@@ -315,18 +335,21 @@
   });
 }
 
-function observe(command: ObservedCommand, { log, parts, stopped }: PortOptions): void {
+function handleObservedCommand(
+  command: ObservedCommand,
+  { log, operatorParts, onStopped }: NetworkPartOptions,
+): void {
   switch (command.kind) {
     case 'count':
     case 'journal':
     case 'log':
-      parts.observer.command(command);
+      operatorParts.observer.onCommand(command);
       return;
     case 'configuration-in-force':
       log.info(LogEvent.ConfigurationInForce, { revision: command.configuration.revision });
       return;
     case 'key-known':
-      parts.view.keyKnown(command);
+      operatorParts.view.onKeyKnown(command);
       return;
     case 'proposal-concluded':
       log.info(LogEvent.OperatorChange, {
@@ -334,15 +357,15 @@
         result: command.result.kind,
         revision: 'revision' in command.result ? command.result.revision : 0,
       });
-      parts.changes.concluded(command);
+      operatorParts.changes.onProposalConcluded(command);
       return;
     case 'stopped':
       log.info(LogEvent.NodeStopped);
-      stopped();
+      onStopped();
   }
 }
 
-function answerOperator(
+function handleOperatorFrame(
   from: NodeIdentity,
   frame: OperatorFrame,
   { backend, gatherer }: OperatorParts,
@@ -359,7 +382,7 @@
   });
 }
 
-function announced(
+function onAnnouncement(
   message: AnnouncementMessage,
   upstream: UpstreamClient,
   driver: NodeDriver,
--- a/packages/daemon/tests/driver/peer-body-stream.test.ts
+++ b/packages/daemon/tests/driver/peer-body-stream.test.ts
@@ -13,39 +13,43 @@
 
 const identity = { callId: 1, direction: 'answer' } as const;
 
-/** A sink and a source whose frames reach each other in a later turn, as over a connection. */
-function connectedBody(): {
+/**
+ * Creates a sink and a source that receive each other's frames in a later turn of the event loop,
+ * as over a connection.
+ */
+function createConnectedBody(): {
   readonly sink: PeerBodySink;
   readonly source: PeerBodySource;
   readonly sentBytes: () => number;
 } {
-  let sent = 0;
+  let sentByteCount = 0;
   const sink: PeerBodySink = new PeerBodySink({
-    closed: () => undefined,
+    onClosed: () => undefined,
     identity,
     send: (frame: BodyFrame) => {
-      if (frame.kind === 'body-chunk') sent += frame.bytes.length;
+      if (frame.kind === 'body-chunk') sentByteCount += frame.bytes.length;
       setImmediate(() => {
-        source.frame(frame);
+        source.onFrame(frame);
       });
     },
   });
   const source: PeerBodySource = new PeerBodySource({
-    closed: () => undefined,
+    onClosed: () => undefined,
     identity,
     send: (frame) => {
       setImmediate(() => {
-        sink.frame(frame);
+        sink.onFrame(frame);
       });
     },
   });
   sink.on('error', () => undefined);
-  return { sentBytes: () => sent, sink, source };
+  return { sentBytes: () => sentByteCount, sink, source };
 }
 
-// A flowing stream passes chunks on without `read`; credit that depends on `read` runs out after 256 KiB.
-test('a body longer than the first credit arrives whole', async () => {
-  const { sink, source } = connectedBody();
+// A stream in flowing mode passes chunks on without calling `read`. If credit were only returned
+// in `read`, the body would stall after the initial 256 KiB.
+test('a body longer than the initial credit arrives completely', async () => {
+  const { sink, source } = createConnectedBody();
   const input = new PassThrough();
   const bytes = 5 * initialCreditBytes + 11;
   let received = 0;
@@ -64,20 +68,24 @@
   assert.is(received, bytes);
 });
 
-// Credit for bytes that nobody has read would let the sender fill the receiver's memory.
-test('a reader that stops stops the sender at the credit', async () => {
-  const { sentBytes, sink, source } = connectedBody();
+// Returning credit for bytes that have not been read would let the sender fill the receiver's
+// memory.
+test('the sender stops at its credit when the receiver stops reading', async () => {
+  const { sentBytes, sink, source } = createConnectedBody();
   const output = new Writable({ highWaterMark: 1, write: () => undefined });
   pipeline(source, output, () => undefined);
   sink.write(Buffer.alloc(8 * initialCreditBytes));
   for (let turn = 0; turn < 20; turn += 1) await sleep(1);
-  const handedOn = 65_536;
-  assert.ok(sentBytes() <= initialCreditBytes + 2 * handedOn, `${sentBytes()} bytes were sent`);
+  const passedOnBytes = 65_536;
+  assert.ok(
+    sentBytes() <= initialCreditBytes + 2 * passedOnBytes,
+    `${sentBytes()} bytes were sent`,
+  );
 });
 
-// A body that ends early must not end like a whole one.
-test('a cut on the sending side is an error on the receiving side', async () => {
-  const { sink, source } = connectedBody();
+// A truncated body must not look like a complete one.
+test('a body that the sender aborts ends with an error at the receiver', async () => {
+  const { sink, source } = createConnectedBody();
   const failed = new Promise((resolve) => source.once('error', resolve));
   source.resume();
   sink.write(Buffer.alloc(10));
--- a/packages/daemon/tests/keyed-outage.process.test.ts
+++ b/packages/daemon/tests/keyed-outage.process.test.ts
@@ -9,49 +9,53 @@
 import type { CallResult } from './shared/caller.js';
 import {
   executionsByKey,
-  homeOf,
-  issue,
+  readHome,
+  sendKeyedRequest,
   resendUntilFinal,
   waitForHomes,
 } from './shared/keyed-calls.js';
 import {
-  gaugeOf,
-  inFlightOf,
-  injectPlatformFault,
-  planOf,
+  readGauge,
+  readInFlight,
+  setPlatformFault,
+  createPlan,
   startTestFleet,
 } from './shared/test-fleet.js';
 import { waitFor } from './shared/wait-for.js';
 
-/** A third of the default, so that the outage outlasts several leases in little time. */
+/** A third of the default, so that a short outage lasts longer than several leases. */
 const leaseMilliseconds = 1_000;
-/** Leases, promises and, after a kill, suspicion and death all end in this time. */
+/**
+ * Long enough for leases and promises to expire and, after a kill, for the node to become suspect
+ * and then dead.
+ */
 const outagePartMilliseconds = 8_000;
-const ranges = 16;
+const rangeCount = 16;
 const keysPerRange = 2;
-const issuers = ['issuance-1', 'issuance-2', 'issuance-3'] as const;
+const issuanceServers = ['issuance-1', 'issuance-2', 'issuance-3'] as const;
 
-interface Issued {
+interface SentRequest {
   readonly key: string;
   readonly result: CallResult;
 }
 
 interface Context {
   fleet: ProcessFleet;
-  /** Nodes that live through all of it. */
+  /** Nodes that keep running throughout the test. */
   entries: readonly FleetServer[];
-  victim: FleetServer;
-  /** Ranges whose home is killed. */
-  lost: ReadonlySet<number>;
-  /** What was answered before or during the outage, by the homes that live on and by the victim. */
-  kept: Issued[];
-  forgotten: Issued[];
+  homeToKill: FleetServer;
+  /** Key ranges whose home is killed. */
+  killedHomeRanges: ReadonlySet<number>;
+  /** Requests answered before or during the outage whose home keeps running. */
+  keptByHomes: SentRequest[];
+  /** Requests answered before or during the outage whose home is killed. */
+  forgottenByKilledHome: SentRequest[];
 }
 
 const test = suite<Context>('keyed requests through an outage');
 
 function rangeOf(key: string): number {
-  return (createHash('sha256').update(key).digest()[0] ?? 0) % ranges;
+  return (createHash('sha256').update(key).digest()[0] ?? 0) % rangeCount;
 }
 
 function newKeyOf(range: number): string {
@@ -61,55 +65,64 @@
   }
 }
 
-/** The home of each range, once every server of the service has its share of them. */
-async function spreadHomes(entry: FleetServer): Promise<readonly string[]> {
+/**
+ * Waits until the homes of the ranges are spread evenly over the servers; returns the home of each
+ * range.
+ */
+async function waitForSpreadHomes(entry: FleetServer): Promise<readonly string[]> {
   let homes: string[] = [];
-  await waitFor('the ranges are spread', async () => {
+  await waitFor('the ranges are spread over the servers', async () => {
     homes = [];
-    for (let range = 0; range < ranges; range += 1) {
+    for (let range = 0; range < rangeCount; range += 1) {
       const key = newKeyOf(range);
-      await issue(entry, key);
-      homes.push(await homeOf(entry, key));
+      await sendKeyedRequest(entry, key);
+      homes.push(await readHome(entry, key));
     }
-    const counts = issuers.map((name) => homes.filter((home) => home === name).length);
-    return Math.min(...counts) >= Math.floor(ranges / issuers.length);
+    const counts = issuanceServers.map((name) => homes.filter((home) => home === name).length);
+    return Math.min(...counts) >= Math.floor(rangeCount / issuanceServers.length);
   });
   return homes;
 }
 
-/** Issues new keys of every range through the entries in turn; each has to be answered in the end. */
-async function issueAll(entries: readonly FleetServer[]): Promise<readonly Issued[]> {
-  const numbers = Array.from({ length: ranges * keysPerRange }, (_, index) => index);
+/**
+ * Sends requests with new keys of every range through the entries in turn, until each has a final
+ * outcome.
+ */
+async function sendToAllRanges(entries: readonly FleetServer[]): Promise<readonly SentRequest[]> {
+  const numbers = Array.from({ length: rangeCount * keysPerRange }, (_, index) => index);
   return Promise.all(
     numbers.map(async (number) => {
-      const key = newKeyOf(number % ranges);
+      const key = newKeyOf(number % rangeCount);
       const first = number % entries.length;
-      const turn = [...entries.slice(first), ...entries.slice(0, first)];
-      const result = await resendUntilFinal(turn, key);
+      const entryOrder = [...entries.slice(first), ...entries.slice(0, first)];
+      const result = await resendUntilFinal(entryOrder, key);
       return { key, result };
     }),
   );
 }
 
-function remember(context: Context, issued: readonly Issued[]): void {
-  const summaries = countSummaries(issued.map(({ result }) => result));
-  assert.equal(summaries, { 'whole answered 200': issued.length });
-  for (const one of issued) {
-    (context.lost.has(rangeOf(one.key)) ? context.forgotten : context.kept).push(one);
+function recordAnswered(context: Context, requests: readonly SentRequest[]): void {
+  const summaries = countSummaries(requests.map(({ result }) => result));
+  assert.equal(summaries, { 'complete answered 200': requests.length });
+  for (const request of requests) {
+    (context.killedHomeRanges.has(rangeOf(request.key))
+      ? context.forgottenByKilledHome
+      : context.keptByHomes
+    ).push(request);
   }
 }
 
-/** A resend through every entry gets the answer of the first run. */
-async function assertRecorded(
+/** Asserts that a resend through each entry gets the answer of the first execution. */
+async function assertSameAnswers(
   entries: readonly FleetServer[],
-  issued: readonly Issued[],
+  requests: readonly SentRequest[],
 ): Promise<void> {
-  for (const { key, result } of issued) {
+  for (const { key, result } of requests) {
     for (const entry of entries) {
-      const again = await resendUntilFinal([entry], key);
-      assert.is(again.outcome, 'answered', again.reason);
-      assert.ok(again.body.equals(result.body));
-      assert.is(again.headers['stand-in-execution'], result.headers['stand-in-execution']);
+      const resent = await resendUntilFinal([entry], key);
+      assert.is(resent.outcome, 'answered', resent.reason);
+      assert.ok(resent.body.equals(result.body));
+      assert.is(resent.headers['stand-in-execution'], result.headers['stand-in-execution']);
     }
   }
 }
@@ -124,94 +137,112 @@
   context.fleet = await startTestFleet({
     nodeFlags: ['--lease-milliseconds', String(leaseMilliseconds)],
     plans: [
-      ...[1, 2, 3].map((number) => planOf('issuance', number)),
-      planOf('provenance', 4),
-      planOf('provenance', 5),
+      ...[1, 2, 3].map((number) => createPlan('issuance', number)),
+      createPlan('provenance', 4),
+      createPlan('provenance', 5),
     ],
   });
   const { fleet } = context;
-  context.victim = fleet.server('issuance-1');
+  context.homeToKill = fleet.server('issuance-1');
   context.entries = ['provenance-4', 'issuance-2', 'provenance-5'].map((name) =>
     fleet.server(name),
   );
-  context.kept = [];
-  context.forgotten = [];
+  context.keptByHomes = [];
+  context.forgottenByKilledHome = [];
   await waitForHomes(fleet.server('provenance-4'));
-  const homes = await spreadHomes(fleet.server('provenance-4'));
-  context.lost = new Set([...homes.keys()].filter((range) => homes[range] === 'issuance-1'));
+  const homes = await waitForSpreadHomes(fleet.server('provenance-4'));
+  context.killedHomeRanges = new Set(
+    [...homes.keys()].filter((range) => homes[range] === 'issuance-1'),
+  );
 });
 
 test.after(async ({ fleet }) => {
   await fleet.close();
 });
 
-// A lease that needed the platform would end with it, and issuance would stop for the outage.
-test('issuance goes on through an outage longer than the lease', async (context) => {
+// If leases depended on the platform, they would expire, and issuance would stop for the rest of
+// the outage.
+test('issuance continues during a platform outage longer than the lease', async (context) => {
   const { entries, fleet } = context;
-  const everywhere = [...fleet.servers.values()];
-  remember(context, await issueAll(everywhere));
-  const before = [...context.kept, ...context.forgotten];
-  await injectPlatformFault(fleet, { active: true, kind: 'down' });
+  const allServers = [...fleet.servers.values()];
+  recordAnswered(context, await sendToAllRanges(allServers));
+  const before = [...context.keptByHomes, ...context.forgottenByKilledHome];
+  await setPlatformFault(fleet, { active: true, kind: 'down' });
   const outagePartEndsAt = performance.now() + outagePartMilliseconds;
   while (performance.now() < outagePartEndsAt) {
-    remember(context, await issueAll(everywhere));
+    recordAnswered(context, await sendToAllRanges(allServers));
     await sleep(leaseMilliseconds);
   }
-  assert.is(await gaugeOf(fleet.server('issuance-2'), 'platform_reachable'), 0);
-  await assertRecorded(entries, before);
-  await assertRecorded([fleet.server('issuance-3')], context.forgotten);
+  assert.is(await readGauge(fleet.server('issuance-2'), 'platform_reachable'), 0);
+  await assertSameAnswers(entries, before);
+  await assertSameAnswers([fleet.server('issuance-3')], context.forgottenByKilledHome);
   const counts = await assertRanAtMostOnce(fleet);
-  for (const { key } of [...context.kept, ...context.forgotten]) assert.is(counts.get(key), 1);
+  for (const { key } of [...context.keptByHomes, ...context.forgottenByKilledHome])
+    assert.is(counts.get(key), 1);
 });
 
-// Without the platform nobody may take a range over: another home could not know what ran.
-test('the keys of a home that is killed meanwhile are unknown and do not run again', async (context) => {
-  const { entries, fleet, forgotten, kept, lost, victim } = context;
-  const running = [...lost].map((range) => newKeyOf(range));
-  const turn = (index: number): FleetServer => entries[index % entries.length] ?? victim;
-  const told = running.map((key, index) => issue(turn(index), key, '?ms=3000'));
-  await waitFor('the victim runs requests', async () => (await inFlightOf(victim)) > 0);
-  victim.node.kill('SIGKILL');
-  for (const { isWhole, outcome, reason } of await Promise.all(told)) {
-    assert.ok(isWhole && ['answered', 'outcome-unknown'].includes(outcome), `${outcome} ${reason}`);
+// Without the platform no node may take over a range, because a new home could not know which
+// requests have run.
+test('requests with keys of a home killed during the outage are unknown and do not run again', async (context) => {
+  const { entries, fleet, forgottenByKilledHome, keptByHomes, killedHomeRanges, homeToKill } =
+    context;
+  const runningKeys = [...killedHomeRanges].map((range) => newKeyOf(range));
+  const entryInTurn = (index: number): FleetServer => entries[index % entries.length] ?? homeToKill;
+  const pendingRequests = runningKeys.map((key, index) =>
+    sendKeyedRequest(entryInTurn(index), key, '?ms=3000'),
+  );
+  await waitFor(
+    'the home to be killed runs requests',
+    async () => (await readInFlight(homeToKill)) > 0,
+  );
+  homeToKill.node.kill('SIGKILL');
+  for (const { isComplete, outcome, reason } of await Promise.all(pendingRequests)) {
+    assert.ok(
+      isComplete && ['answered', 'outcome-unknown'].includes(outcome),
+      `${outcome} ${reason}`,
+    );
   }
-  const ranBefore = await executionsByKey(fleet);
+  const executionsBefore = await executionsByKey(fleet);
   const outagePartEndsAt = performance.now() + outagePartMilliseconds;
   for (let round = 0; performance.now() < outagePartEndsAt; round += 1) {
-    for (const range of lost) {
+    for (const range of killedHomeRanges) {
       const key = newKeyOf(range);
-      const known = running.concat(forgotten.map((issued) => issued.key));
-      const resent = known[round % known.length] ?? key;
-      for (const asked of [key, resent]) {
-        const { attempt, outcome, reason } = await issue(turn(round), asked);
+      const knownKeys = runningKeys.concat(forgottenByKilledHome.map((forgotten) => forgotten.key));
+      const earlierKey = knownKeys[round % knownKeys.length] ?? key;
+      for (const requestedKey of [key, earlierKey]) {
+        const { attempt, outcome, reason } = await sendKeyedRequest(
+          entryInTurn(round),
+          requestedKey,
+        );
         assert.is(outcome, 'outcome-unknown', reason);
         assert.is(attempt, 'not-started', reason);
       }
-      // Whether the key of this attempt ran stays unknown for its caller, but it did not.
+      // The outcome is unknown to the caller, but the request with this key did not run.
       assert.is((await executionsByKey(fleet)).get(key), undefined);
     }
   }
-  const ranSince = await assertRanAtMostOnce(fleet);
-  for (const key of running) assert.is(ranSince.get(key), ranBefore.get(key));
-  await assertRecorded([turn(0)], kept.slice(-ranges));
+  const executionsAfter = await assertRanAtMostOnce(fleet);
+  for (const key of runningKeys) assert.is(executionsAfter.get(key), executionsBefore.get(key));
+  await assertSameAnswers([entryInTurn(0)], keptByHomes.slice(-rangeCount));
 });
 
-// The takeover must neither wait for ever nor run again what the killed home had run.
-test('once the platform is back the ranges are taken over and nothing runs twice', async (context) => {
-  const { entries, fleet, forgotten, kept } = context;
-  await injectPlatformFault(fleet, { active: false, kind: 'down' });
+// The takeover must complete, and must not repeat requests that the killed home has run.
+test('the ranges are taken over after the outage and nothing runs twice', async (context) => {
+  const { entries, fleet, forgottenByKilledHome, keptByHomes } = context;
+  await setPlatformFault(fleet, { active: false, kind: 'down' });
   for (const entry of entries) await waitForHomes(entry);
-  for (const { key } of forgotten) {
+  for (const { key } of forgottenByKilledHome) {
     const { outcome, reason } = await resendUntilFinal(entries, key);
     assert.is(`${outcome} ${reason}`, 'outcome-unknown created-before-takeover');
   }
-  await assertRecorded(entries, kept);
-  const after = await issueAll(entries);
+  await assertSameAnswers(entries, keptByHomes);
+  const after = await sendToAllRanges(entries);
   assert.equal(countSummaries(after.map(({ result }) => result)), {
-    'whole answered 200': after.length,
+    'complete answered 200': after.length,
   });
   const counts = await assertRanAtMostOnce(fleet);
-  for (const { key } of [...forgotten, ...kept, ...after]) assert.is(counts.get(key), 1);
+  for (const { key } of [...forgottenByKilledHome, ...keptByHomes, ...after])
+    assert.is(counts.get(key), 1);
 });
 
 test.run();
--- a/packages/daemon/tests/operators/metrics-page.test.ts
+++ b/packages/daemon/tests/operators/metrics-page.test.ts
@@ -12,7 +12,7 @@
 
 const root = new URL('../../../../../', import.meta.url);
 
-function sourceTexts(): string[] {
+function readSourceTexts(): string[] {
   return readdirSync(new URL('packages/', root)).flatMap((name) => {
     const folder = new URL(`packages/${name}/src/`, root);
     return readdirSync(folder, { recursive: true })
@@ -22,9 +22,12 @@
   });
 }
 
-/** Counters come to be when they are first raised, so their names are read from the sources. */
-function counterNames(): string[] {
-  const literals = sourceTexts().flatMap((text) =>
+/**
+ * Counters are created on their first increment, so their names are extracted from the source
+ * files.
+ */
+function findCounterNames(): string[] {
+  const literals = readSourceTexts().flatMap((text) =>
     [...text.matchAll(/\.count\('([a-z_]+)'|\bcounter: '([a-z_]+)'/g)].map(
       ([, argument, field]) => argument ?? field ?? '',
     ),
@@ -32,13 +35,13 @@
   return [...literals, ...Object.values(CounterName)].map((name) => `${name}_total`);
 }
 
-async function registeredNames(): Promise<string[]> {
+async function findRegisteredNames(): Promise<string[]> {
   const metrics = new Metrics();
   const own = [...(await metrics.text()).matchAll(/^# TYPE peridotspring_(\S+)/gm)];
   const gauges: string[] = [];
   metrics.addGauge = ({ name }) => gauges.push(name);
   metrics.addLabelledGauge = ({ name }) => gauges.push(name);
-  // Only the names are asked for, so the sources of the values are never read.
+  // Only the names are collected. The gauges are never read, so they need no sources.
   registerGauges(metrics, {} as GaugeSources);
   registerMeshGauges(metrics, {
     gaugeValues: () => ({}) as MeshGaugeValues,
@@ -47,10 +50,10 @@
   return [...own.map(([, name]) => name ?? ''), ...gauges];
 }
 
-test('operators find every metric on the page, and no metric that does not exist', async () => {
+test('docs/OPERATIONS.md lists exactly the metrics that exist', async () => {
   const page = readFileSync(new URL('docs/OPERATIONS.md', root), 'utf8');
   const listed = [...page.matchAll(/^\| `peridotspring_([a-z_]+)`/gm)].map(([, name]) => name);
-  const defined = new Set([...counterNames(), ...(await registeredNames())]);
+  const defined = new Set([...findCounterNames(), ...(await findRegisteredNames())]);
   assert.equal([...listed].sort(), [...defined].sort());
 });
 
--- a/packages/daemon/tests/reasons.process.test.ts
+++ b/packages/daemon/tests/reasons.process.test.ts
@@ -6,40 +6,49 @@
 
 import { call, newKey } from './shared/caller.js';
 import type { CallOptions } from './shared/caller.js';
-import { HeldCalls } from './shared/held-calls.js';
-import { issue, waitForHomes } from './shared/keyed-calls.js';
+import { LongRunningCalls } from './shared/long-running-calls.js';
+import { sendKeyedRequest, waitForHomes } from './shared/keyed-calls.js';
 import { RawCaller } from './shared/raw-caller.js';
-import { changeFaults, counterOf, gaugeOf, planOf, startTestFleet } from './shared/test-fleet.js';
+import {
+  setUpstreamFaults,
+  readCounter,
+  readGauge,
+  createPlan,
+  startTestFleet,
+} from './shared/test-fleet.js';
 import { waitFor } from './shared/wait-for.js';
 
-/** Few, so that little load fills a gate; more than one, so that a ramp can hold one back. */
+/** Few, so that a small load fills a gate; more than one, so that a ramp can withhold a slot. */
 const slots = 2;
 const keyRecords = 1_000;
-/** Held requests have to fit into the queue by their deadline. */
-const patient = { deadlineMilliseconds: 30_000 } as const;
+/**
+ * Long enough that the gate queues long-running requests instead of refusing them for their
+ * deadline.
+ */
+const longDeadline = { deadlineMilliseconds: 30_000 } as const;
 const serviceTimeMilliseconds = 200;
 
 /**
- * Reasons that no request to real nodes brings about. `deadline-expired`: an entry sends a keyed
- * request with at least 1 ms left, and a call begins in the turn in which it was accepted, so only a
- * core that is called with an earlier clock reading sees a deadline in the past.
+ * Reasons that no request to real nodes can produce. `deadline-expired`: an entry forwards a keyed
+ * request with at least 1 ms left, and a call starts in the turn of the event loop in which it was
+ * accepted, so only a core that is called with an earlier clock reading sees an expired deadline.
  */
-const unreachable: ReadonlySet<string> = new Set([RefusalReason.DeadlineExpired]);
+const unreachableReasons: ReadonlySet<string> = new Set([RefusalReason.DeadlineExpired]);
 
 interface Context {
   fleet: ProcessFleet;
   entry: FleetServer;
-  /** Takes one request at a time from callers. */
+  /** Accepts only one request at a time from callers. */
   busyEntry: FleetServer;
   /** The only gate of the service `provenance`. */
   gate: FleetServer;
 }
 
 const test = suite<Context>('reasons');
-const seen = new Set<string>();
+const countedReasons = new Set<string>();
 
 test.before(async (context) => {
-  const plans = [planOf('provenance', 1), planOf('issuance', 2), planOf('issuance', 3)];
+  const plans = [createPlan('provenance', 1), createPlan('issuance', 2), createPlan('issuance', 3)];
   context.fleet = await startTestFleet({
     nodeFlags: ['--key-records', String(keyRecords), '--caller-body-bytes', '65536'],
     nodeFlagsOf: (server) => (server === 'issuance-2' ? ['--caller-requests', '1'] : []),
@@ -55,40 +64,50 @@
   await fleet.close();
 });
 
-/** Repeats `act` until the node's counter of the reason rises. */
-async function provoke(
+/** Repeats `trigger` until the counter of the node for the reason increases. */
+async function repeatUntilCounted(
   node: FleetServer,
   reason: string,
-  act: () => unknown,
+  trigger: () => unknown,
   counter = 'refusals',
   labels: Readonly<Record<string, string>> = {},
 ): Promise<void> {
-  const read = (): Promise<number> => counterOf(node, counter, { ...labels, reason });
-  const before = await read();
-  await waitFor(`the ${counter} for ${reason} rise at ${node.plan.server}`, async () => {
-    await act();
-    return (await read()) > before;
-  });
-  seen.add(reason);
+  const readCount = (): Promise<number> => readCounter(node, counter, { ...labels, reason });
+  const before = await readCount();
+  await waitFor(
+    `the counter ${counter} for ${reason} increases at ${node.plan.server}`,
+    async () => {
+      await trigger();
+      return (await readCount()) > before;
+    },
+  );
+  countedReasons.add(reason);
 }
 
-/** Repeats `act` until the gate itself refuses with the reason. */
-function provokeAtGate(gate: FleetServer, reason: string, act: () => unknown): Promise<void> {
-  return provoke(gate, reason, act, 'refusals', { said_by: 'gate' });
+/** Repeats `trigger` until the gate itself refuses a request with the reason. */
+function repeatUntilCountedAtGate(
+  gate: FleetServer,
+  reason: string,
+  trigger: () => unknown,
+): Promise<void> {
+  return repeatUntilCounted(gate, reason, trigger, 'refusals', { said_by: 'gate' });
 }
 
-async function command(node: FleetServer, text: string): Promise<void> {
+async function runOperatorCommand(node: FleetServer, text: string): Promise<void> {
   const { body, status } = await askOperator(node.operatorPort, `${text} wait up to 20s`);
   assert.is(status, 200, JSON.stringify(body));
 }
 
-async function control(server: FleetServer, action: 'announce' | 'leave'): Promise<void> {
+async function controlUpstream(server: FleetServer, action: 'announce' | 'leave'): Promise<void> {
   const response = await fetch(`http://${server.control}/control/${action}`, { method: 'POST' });
   assert.ok(response.ok, await response.text());
 }
 
-/** Answers of a known length, so that the gate can tell which deadlines are too short. */
-async function learnServiceTime(entry: FleetServer): Promise<void> {
+/**
+ * Sends lookups with a known service time, so that the gate can tell which deadlines are too
+ * short.
+ */
+async function measureServiceTime(entry: FleetServer): Promise<void> {
   let consecutive = 0;
   await waitFor('lookups are answered in a row', async () => {
     const { outcome } = await call(entry, `/provenance/x?ms=${serviceTimeMilliseconds}`);
@@ -97,15 +116,18 @@
   });
 }
 
-/** Occupies every slot of the gate and a place in its queue. */
-async function holdWaiting(held: HeldCalls, { entry, gate }: Context): Promise<void> {
+/** Occupies every slot of the gate and one place in its queue. */
+async function fillSlotsAndQueue(
+  longCalls: LongRunningCalls,
+  { entry, gate }: Context,
+): Promise<void> {
   await waitFor('a request waits at the gate', async () => {
-    held.add(entry, 'provenance', patient);
-    return (await gaugeOf(gate, 'gate_queued')) > 0;
+    longCalls.start(entry, 'provenance', longDeadline);
+    return (await readGauge(gate, 'gate_queued')) > 0;
   });
 }
 
-const faultyRequests: readonly [RefusalReason, string, CallOptions][] = [
+const refusedRequests: readonly [RefusalReason, string, CallOptions][] = [
   ['body-too-large', '/provenance/x', { body: Buffer.alloc(65_537), method: 'PUT' }],
   ['deadline-malformed', '/provenance/x', { headers: { 'peridotspring-deadline-ms': 'soon' } }],
   ['depth-exceeded', '/provenance/x', { headers: { 'peridotspring-depth': '17' } }],
@@ -116,188 +138,215 @@
   ['no-upstream', '/retirement/x', {}],
 ];
 
-// A refusal that is told but not counted stays hidden from operators, and one that is counted twice misleads them.
-test('each request that an entry refuses is counted once under its reason', async ({ entry }) => {
-  await command(entry, 'declare service retirement');
-  for (const [reason, path, options] of faultyRequests) {
-    const before = await counterOf(entry, 'refusals', { reason });
+// Operators can't see refusals that are not counted, and are misled by those that are counted
+// twice.
+test('each request that an entry refuses is counted once with its reason', async ({ entry }) => {
+  await runOperatorCommand(entry, 'declare service retirement');
+  for (const [reason, path, options] of refusedRequests) {
+    const before = await readCounter(entry, 'refusals', { reason });
     const result = await call(entry, path, options);
-    // The parser refuses an oversized head before there is a request to add headers to.
-    const told = reason === RefusalReason.HeadersTooLarge ? String(result.body) : result.reason;
-    assert.match(told, reason);
+    // The HTTP parser rejects an oversized head before there is a response to which headers can be
+    // added.
+    const reportedReason =
+      reason === RefusalReason.HeadersTooLarge ? String(result.body) : result.reason;
+    assert.match(reportedReason, reason);
     await waitFor(`${reason} is counted`, async () => {
-      return (await counterOf(entry, 'refusals', { reason })) > before;
+      return (await readCounter(entry, 'refusals', { reason })) > before;
     });
-    assert.is(await counterOf(entry, 'refusals', { reason }), before + 1, reason);
-    seen.add(reason);
+    assert.is(await readCounter(entry, 'refusals', { reason }), before + 1, reason);
+    countedReasons.add(reason);
   }
 });
 
-// Such requests never reach the handler of requests, so their counter is a path of its own.
-test('a request with two lengths is counted', async ({ entry }) => {
-  await provoke(entry, RefusalReason.ConflictingLengths, () => {
+// The HTTP parser rejects such requests before the request handler is called, so they are counted
+// separately.
+test('a request with conflicting lengths is counted', async ({ entry }) => {
+  await repeatUntilCounted(entry, RefusalReason.ConflictingLengths, () => {
     const raw = new RawCaller(entry);
     raw.send('PUT', '/provenance/x', ['content-length: 3', 'transfer-encoding: chunked']);
   });
 });
 
-// Callers that are turned away by a full node must show at that node.
-test('a request above the limit of an entry is counted', async ({ busyEntry }) => {
-  const held = new HeldCalls();
-  held.add(busyEntry, 'provenance', patient);
-  await provoke(busyEntry, RefusalReason.EntryBusy, () => call(busyEntry, '/provenance/x'));
-  await held.release();
+// Requests that a busy node refuses must be counted at that node.
+test('a request above the request limit of an entry is counted', async ({ busyEntry }) => {
+  const longCalls = new LongRunningCalls();
+  longCalls.start(busyEntry, 'provenance', longDeadline);
+  await repeatUntilCounted(busyEntry, RefusalReason.EntryBusy, () =>
+    call(busyEntry, '/provenance/x'),
+  );
+  await longCalls.abortAll();
 });
 
-// Every way in which an occupied gate turns requests away has its own remedy, so each is told apart.
+// Each reason for which an occupied gate refuses requests has its own remedy, so they are counted
+// separately.
 test('the refusals of an occupied gate are counted', async (context) => {
   const { entry, gate } = context;
-  await learnServiceTime(entry);
-  const held = new HeldCalls();
-  const provokeHeld = (reason: RefusalReason, tenant: string): Promise<void> =>
-    provokeAtGate(gate, reason, () => {
-      held.add(entry, 'provenance', { ...patient, headers: { 'peridotspring-tenant': tenant } });
+  await measureServiceTime(entry);
+  const longCalls = new LongRunningCalls();
+  const fillUntilCounted = (reason: RefusalReason, tenant: string): Promise<void> =>
+    repeatUntilCountedAtGate(gate, reason, () => {
+      longCalls.start(entry, 'provenance', {
+        ...longDeadline,
+        headers: { 'peridotspring-tenant': tenant },
+      });
     });
-  await provokeHeld(RefusalReason.QueueFull, 'first');
-  await provokeHeld(RefusalReason.TenantOverShare, 'second');
-  const lookup = (deadlineMilliseconds: number): Promise<unknown> =>
+  await fillUntilCounted(RefusalReason.QueueFull, 'first');
+  await fillUntilCounted(RefusalReason.TenantOverShare, 'second');
+  const sendLookup = (deadlineMilliseconds: number): Promise<unknown> =>
     call(entry, '/provenance/x', { deadlineMilliseconds });
-  await provokeAtGate(gate, RefusalReason.DeadlineTooShort, () =>
-    lookup(serviceTimeMilliseconds / 2),
+  await repeatUntilCountedAtGate(gate, RefusalReason.DeadlineTooShort, () =>
+    sendLookup(serviceTimeMilliseconds / 2),
+  );
+  await repeatUntilCountedAtGate(gate, RefusalReason.NoSlot, () =>
+    sendLookup(serviceTimeMilliseconds * 2),
   );
-  await provokeAtGate(gate, RefusalReason.NoSlot, () => lookup(serviceTimeMilliseconds * 2));
-  await provokeAtGate(gate, RefusalReason.Draining, async () => {
-    await command(entry, 'drain server provenance-1');
+  await repeatUntilCountedAtGate(gate, RefusalReason.Draining, async () => {
+    await runOperatorCommand(entry, 'drain server provenance-1');
   });
-  await held.release();
-  await command(entry, 'restore server provenance-1');
+  await longCalls.abortAll();
+  await runOperatorCommand(entry, 'restore server provenance-1');
 });
 
-// A declared bound has to hold for a tenant that would still be within its share.
-test('the refusals of a tenant above its declared bound are counted', async ({ entry, gate }) => {
-  await command(entry, 'change service provenance tenant-in-flight maximum 1');
-  const held = new HeldCalls();
-  await provokeAtGate(gate, RefusalReason.TenantLimit, () => {
-    held.add(entry, 'provenance', { ...patient, headers: { 'peridotspring-tenant': 'third' } });
+// A declared limit must also be applied to a tenant that is still within its share.
+test('the refusals of a tenant above its declared limit are counted', async ({ entry, gate }) => {
+  await runOperatorCommand(entry, 'change service provenance tenant-in-flight maximum 1');
+  const longCalls = new LongRunningCalls();
+  await repeatUntilCountedAtGate(gate, RefusalReason.TenantLimit, () => {
+    longCalls.start(entry, 'provenance', {
+      ...longDeadline,
+      headers: { 'peridotspring-tenant': 'third' },
+    });
   });
-  await held.release();
-  await command(entry, 'change service provenance tenant-in-flight maximum off');
+  await longCalls.abortAll();
+  await runOperatorCommand(entry, 'change service provenance tenant-in-flight maximum off');
 });
 
-// What waits for an upstream that leaves or starts cold is refused for another reason than load.
-test('the refusals of a gate whose upstream leaves, starts cold or is down are counted', async (context) => {
+// Requests that wait for an upstream that leaves or is warming up are not refused because of load,
+// so they need reasons of their own.
+test('the refusals of a gate whose upstream leaves, is warming up or is down are counted', async (context) => {
   const { entry, gate } = context;
-  await learnServiceTime(entry);
-  const waiting = new HeldCalls();
-  await holdWaiting(waiting, context);
-  await provokeAtGate(gate, RefusalReason.NotServingService, () => control(gate, 'leave'));
-  await waiting.release();
-  await command(entry, 'change service provenance ramp 10m');
-  await control(gate, 'announce');
-  const cold = new HeldCalls();
-  await provokeAtGate(gate, RefusalReason.WarmingUp, () => {
-    cold.add(entry, 'provenance', patient);
+  await measureServiceTime(entry);
+  const waitingCalls = new LongRunningCalls();
+  await fillSlotsAndQueue(waitingCalls, context);
+  await repeatUntilCountedAtGate(gate, RefusalReason.NotServingService, () =>
+    controlUpstream(gate, 'leave'),
+  );
+  await waitingCalls.abortAll();
+  await runOperatorCommand(entry, 'change service provenance ramp 10m');
+  await controlUpstream(gate, 'announce');
+  const callsAtColdGate = new LongRunningCalls();
+  await repeatUntilCountedAtGate(gate, RefusalReason.WarmingUp, () => {
+    callsAtColdGate.start(entry, 'provenance', longDeadline);
   });
-  await cold.release();
-  await command(entry, 'change service provenance ramp 0ms');
-  await changeFaults(gate, { refuseConnections: true });
-  await provokeAtGate(gate, RefusalReason.UpstreamDown, () => call(entry, '/provenance/x'));
-  await changeFaults(gate, { refuseConnections: false });
-  await learnServiceTime(entry);
+  await callsAtColdGate.abortAll();
+  await runOperatorCommand(entry, 'change service provenance ramp 0ms');
+  await setUpstreamFaults(gate, { refuseConnections: true });
+  await repeatUntilCountedAtGate(gate, RefusalReason.UpstreamDown, () =>
+    call(entry, '/provenance/x'),
+  );
+  await setUpstreamFaults(gate, { refuseConnections: false });
+  await measureServiceTime(entry);
 });
 
-// Retries hide faults from callers, so operators see these faults in the counters only.
-test('the retries are counted, and refusals of several targets as one', async ({
+// Retries hide faults from callers, so operators can see these faults only in the counters.
+test('retries are counted, and refusals by several targets are counted as one', async ({
   busyEntry,
   entry,
 }) => {
-  const lookup = (): Promise<unknown> => call(entry, '/issuance/x?ms=5');
-  await changeFaults(busyEntry, { closeWithoutAnswer: true });
-  await provoke(entry, RetryReason.AttemptFailed, lookup, 'retries');
-  await changeFaults(busyEntry, { closeWithoutAnswer: false, slowFactor: 100 });
-  await command(entry, 'change service issuance hedging on');
-  await provoke(entry, RetryReason.Hedge, lookup, 'retries');
-  await command(entry, 'change service issuance hedging off');
-  await changeFaults(busyEntry, { refuseConnections: true, slowFactor: 1 });
-  await provoke(entry, RetryReason.RefusedElsewhere, lookup, 'retries');
-  const held = new HeldCalls();
-  await provoke(entry, RefusalReason.AllTargetsRefused, () => {
-    held.add(entry, 'issuance', patient);
+  const sendLookup = (): Promise<unknown> => call(entry, '/issuance/x?ms=5');
+  await setUpstreamFaults(busyEntry, { closeWithoutAnswer: true });
+  await repeatUntilCounted(entry, RetryReason.AttemptFailed, sendLookup, 'retries');
+  await setUpstreamFaults(busyEntry, { closeWithoutAnswer: false, slowFactor: 100 });
+  await runOperatorCommand(entry, 'change service issuance hedging on');
+  await repeatUntilCounted(entry, RetryReason.Hedge, sendLookup, 'retries');
+  await runOperatorCommand(entry, 'change service issuance hedging off');
+  await setUpstreamFaults(busyEntry, { refuseConnections: true, slowFactor: 1 });
+  await repeatUntilCounted(entry, RetryReason.RefusedElsewhere, sendLookup, 'retries');
+  const longCalls = new LongRunningCalls();
+  await repeatUntilCounted(entry, RefusalReason.AllTargetsRefused, () => {
+    longCalls.start(entry, 'issuance', longDeadline);
   });
-  await held.release();
-  await changeFaults(busyEntry, { refuseConnections: false });
+  await longCalls.abortAll();
+  await setUpstreamFaults(busyEntry, { refuseConnections: false });
   await waitForHomes(entry);
 });
 
-/** A key that was made an hour from now. */
-function futureKey(): string {
+/** Creates a key whose creation time is an hour in the future. */
+function newFutureKey(): string {
   const hour = 3_600_000;
-  const made = (Date.now() + hour).toString(16).padStart(12, '0');
-  return `${made.slice(0, 8)}-${made.slice(8)}${newKey().slice(13)}`;
+  const creationTime = (Date.now() + hour).toString(16).padStart(12, '0');
+  return `${creationTime.slice(0, 8)}-${creationTime.slice(8)}${newKey().slice(13)}`;
 }
 
-// Refusals of a home travel to the entry before they are counted there.
+// A home sends its refusals to the entry, which counts them.
 test('the refusals of a home are counted at the entry', async ({ entry }) => {
-  await provoke(entry, RefusalReason.KeyFromFuture, () => issue(entry, futureKey()));
-  await provoke(entry, RefusalReason.VoidAttempt, async () => {
-    const key = futureKey();
-    await issue(entry, key);
-    await issue(entry, key);
+  await repeatUntilCounted(entry, RefusalReason.KeyFromFuture, () =>
+    sendKeyedRequest(entry, newFutureKey()),
+  );
+  await repeatUntilCounted(entry, RefusalReason.VoidAttempt, async () => {
+    const key = newFutureKey();
+    await sendKeyedRequest(entry, key);
+    await sendKeyedRequest(entry, key);
   });
-  await provoke(entry, RefusalReason.KeyReused, async () => {
+  await repeatUntilCounted(entry, RefusalReason.KeyReused, async () => {
     const key = newKey();
-    await issue(entry, key);
-    await issue(entry, key, '?other=1');
+    await sendKeyedRequest(entry, key);
+    await sendKeyedRequest(entry, key, '?other=1');
   });
 });
 
-// A peer that reads nothing must not make the entry hold bodies without bound.
-test('a request for a node with a full connection is counted', async ({ entry, gate }) => {
+// A peer that stops reading must not make the entry buffer an unlimited number of bodies.
+test('a refusal because the connection to a node is congested is counted', async ({
+  entry,
+  gate,
+}) => {
   const body = Buffer.alloc(60_000);
   const options = { body, deadlineMilliseconds: 2_000, method: 'PUT' } as const;
-  await provoke(entry, RefusalReason.PeerCongested, async () => {
+  await repeatUntilCounted(entry, RefusalReason.PeerCongested, async () => {
     gate.node.kill('SIGSTOP');
     await Promise.all(Array.from({ length: 400 }, () => call(entry, '/provenance/x', options)));
     gate.node.kill('SIGCONT');
   });
 });
 
-// Until the others take a killed node for dead, requests for it can't be sent.
-test('a request for a node that was killed is counted', async ({ entry, fleet }) => {
-  await provoke(entry, RefusalReason.PeerUnreachable, async () => {
+// Until the other nodes have detected that a killed node is dead, they still choose it as a target,
+// but can't send requests to it.
+test('a refusal because a node was killed is counted', async ({ entry, fleet }) => {
+  await repeatUntilCounted(entry, RefusalReason.PeerUnreachable, async () => {
     if (!fleet.server('provenance-1').node.isRunning) await fleet.restartServer('provenance-1');
-    await learnServiceTime(entry);
+    await measureServiceTime(entry);
     fleet.server('provenance-1').node.kill('SIGKILL');
     for (let attempt = 0; attempt < 20; attempt += 1) await call(entry, '/provenance/x');
   });
 });
 
-// A caller whose connection stays open sends on while the node finishes what it has.
-test('a request to a node that is stopping is counted', async ({ busyEntry }) => {
+// A caller with an open connection can send further requests while the node finishes those in
+// progress.
+test('a refusal by a stopping node is counted', async ({ busyEntry }) => {
   const raw = new RawCaller(busyEntry);
   raw.send('GET', '/issuance/held?ms=30000', ['peridotspring-deadline-ms: 30000']);
-  await waitFor('the node makes the call', async () => {
-    return (await gaugeOf(busyEntry, 'calls_in_progress')) > 0;
+  await waitFor('the node forwards the request', async () => {
+    return (await readGauge(busyEntry, 'calls_in_progress')) > 0;
   });
   busyEntry.node.kill('SIGTERM');
-  await provoke(busyEntry, RefusalReason.NodeStopping, () => {
+  await repeatUntilCounted(busyEntry, RefusalReason.NodeStopping, () => {
     raw.send('GET', '/issuance/x');
   });
   raw.close();
 });
 
-// At the bound of its memory a home refuses new keys rather than forget keys of the last minutes.
-test('a request for a home that holds all the keys it may is counted', async ({ entry }) => {
-  await provoke(entry, RefusalReason.KeyStoreFull, () =>
-    Promise.all(Array.from({ length: 100 }, () => issue(entry, newKey()))),
+// At its limit of key records a home refuses new keys rather than forget keys of the last minutes.
+test('a refusal because a home has reached its limit of keys is counted', async ({ entry }) => {
+  await repeatUntilCounted(entry, RefusalReason.KeyStoreFull, () =>
+    Promise.all(Array.from({ length: 100 }, () => sendKeyedRequest(entry, newKey()))),
   );
 });
 
-// A new reason needs a way to bring it about, or an entry in the list of those that have none.
-test('every reason was seen but those that real nodes do not give', () => {
+// Each new reason must be produced by a test in this file or be listed in `unreachableReasons`.
+test('every reason was counted, except those that real nodes cannot produce', () => {
   const all = [...Object.values(RefusalReason), ...Object.values(RetryReason)];
-  const missing = all.filter((reason) => !seen.has(reason));
-  assert.equal(missing, [...unreachable]);
+  const missing = all.filter((reason) => !countedReasons.has(reason));
+  assert.equal(missing, [...unreachableReasons]);
 });
 
 test.run();
--- a/packages/daemon/tests/reasons.test.ts
+++ b/packages/daemon/tests/reasons.test.ts
@@ -16,7 +16,7 @@
 const home = 'core/tests/homes/home-keeper.test.ts';
 const keyRules = 'core/tests/homes/key-rules.test.ts';
 
-/** The test in which each reason arises; a reason without one does not compile. */
+/** The test file that produces each refusal reason. A reason without one is a compile error. */
 const refusalTests: Readonly<Record<RefusalReason, string>> = {
   'all-targets-refused': engine,
   'body-too-large': callerServer,
@@ -75,8 +75,8 @@
 
 const service = 'provenance';
 
-/** An observer with real counters, and the counters' text. */
-function observed(): { readonly observer: NodeObserver; readonly text: () => Promise<string> } {
+/** Creates an observer with real metrics, and a function that returns their text. */
+function newObserver(): { readonly observer: NodeObserver; readonly text: () => Promise<string> } {
   const metrics = new Metrics();
   const observer = new NodeObserver({
     journal: new RequestJournal(),
@@ -88,12 +88,12 @@
   return { observer, text: () => metrics.text() };
 }
 
-function finish(observer: NodeObserver, outcome: CallOutcome): void {
+function recordOutcome(observer: NodeObserver, outcome: CallOutcome): void {
   const request = { milliseconds: 1, requestId: 'r', service, tenant: 't' };
-  observer.finished({ ...request, outcome });
+  observer.onRequestFinished({ ...request, outcome });
 }
 
-function series(counter: CounterName, reason: string, text: string): number {
+function readCounter(counter: CounterName, reason: string, text: string): number {
   const lines = text
     .split('\n')
     .filter((line) => line.startsWith(`peridotspring_${counter}_total`));
@@ -101,8 +101,9 @@
   return own.reduce((sum, line) => sum + Number(line.slice(line.lastIndexOf(' ') + 1)), 0);
 }
 
-// A reason that no test reaches may never be given, or given wrongly, without anybody noticing.
-test('each reason is named by the test in which it arises', () => {
+// Without a test that produces it, a reason could be reported wrongly, or never, without being
+// noticed.
+test('each reason is named in the test that produces it', () => {
   const all = [refusalTests, unknownTests, retryTests].flatMap((table) => Object.entries(table));
   for (const [reason, file] of all) {
     const path = fileURLToPath(new URL(`../../../${file}`, import.meta.url));
@@ -116,31 +117,31 @@
   }
 });
 
-// Operators find the cause of refusals in these counters only.
-test('the counter of each refusal reason rises', async () => {
-  const { observer, text } = observed();
+// These counters are the only place where operators can see the cause of refusals.
+test('each refusal reason increments its counter', async () => {
+  const { observer, text } = newObserver();
   for (const reason of Object.values(RefusalReason)) {
-    assert.is(series(CounterName.Refusals, reason, await text()), 0);
-    finish(observer, { kind: 'refused-not-run', reason });
-    assert.is(series(CounterName.Refusals, reason, await text()), 1, reason);
+    assert.is(readCounter(CounterName.Refusals, reason, await text()), 0);
+    recordOutcome(observer, { kind: 'refused-not-run', reason });
+    assert.is(readCounter(CounterName.Refusals, reason, await text()), 1, reason);
   }
 });
 
-test('the counter of each unknown reason rises', async () => {
-  const { observer, text } = observed();
+test('each reason for an unknown outcome increments its counter', async () => {
+  const { observer, text } = newObserver();
   for (const reason of Object.values(UnknownReason)) {
-    assert.is(series(CounterName.Unknowns, reason, await text()), 0);
-    finish(observer, { attemptStarted: false, kind: 'outcome-unknown', reason });
-    assert.is(series(CounterName.Unknowns, reason, await text()), 1, reason);
+    assert.is(readCounter(CounterName.Unknowns, reason, await text()), 0);
+    recordOutcome(observer, { attemptStarted: false, kind: 'outcome-unknown', reason });
+    assert.is(readCounter(CounterName.Unknowns, reason, await text()), 1, reason);
   }
 });
 
-test('the counter of each retry reason rises', async () => {
-  const { observer, text } = observed();
+test('each retry reason increments its counter', async () => {
+  const { observer, text } = newObserver();
   for (const reason of Object.values(RetryReason)) {
     const labels = { reason, service };
-    observer.command({ by: 1, counter: CounterName.Retries, kind: 'count', labels });
-    assert.is(series(CounterName.Retries, reason, await text()), 1, reason);
+    observer.onCommand({ by: 1, counter: CounterName.Retries, kind: 'count', labels });
+    assert.is(readCounter(CounterName.Retries, reason, await text()), 1, reason);
   }
 });
 
--- a/packages/daemon/tests/settings/settings.test.ts
+++ b/packages/daemon/tests/settings/settings.test.ts
@@ -5,7 +5,7 @@
 
 import { readStartRequest, settingsPage, type StartRequest } from '../../src/index.js';
 
-const complete: Readonly<Record<string, string>> = {
+const validEnvironment: Readonly<Record<string, string>> = {
   PERIDOTSPRING_AVAILABILITY_ZONE: 'regina-hall',
   PERIDOTSPRING_OPERATOR_SECRET: 'operator-secret-1',
   PERIDOTSPRING_PEER_ADVERTISED_ADDRESS: '10.0.0.7:7101',
@@ -15,12 +15,15 @@
   PERIDOTSPRING_SERVER_NAME: 'regina-1',
 };
 
-function errorsOf(request: StartRequest): string {
-  return request.kind === 'exit' ? request.errors : '';
+function errorOutputOf(request: StartRequest): string {
+  return request.kind === 'exit' ? request.errorOutput : '';
 }
 
-test('a complete environment starts, and the flag wins over the variable', () => {
-  const request = readStartRequest(['--region', 'east', '--lease-milliseconds=900'], complete);
+test('starts with a complete environment; a flag takes precedence over the variable', () => {
+  const request = readStartRequest(
+    ['--region', 'east', '--lease-milliseconds=900'],
+    validEnvironment,
+  );
   assert.is(request.kind, 'start');
   if (request.kind !== 'start') return;
   assert.equal([request.settings.region, request.settings.leaseMilliseconds], ['east', 900]);
@@ -28,12 +31,12 @@
   assert.equal(request.settings.upstreamAdvertisedAddress, { host: '127.0.0.1', port: 7102 });
 });
 
-test('all faults are reported at once, each with the name of its setting', () => {
-  const errors = errorsOf(
+test('reports all errors at once, each with the name of its setting', () => {
+  const errors = errorOutputOf(
     readStartRequest(['--lease-milliseconds', 'soon', '--lse', '1', '--region'], {}),
   );
   for (const words of [
-    'there is no flag --lse',
+    'unknown flag --lse',
     'region (--region) needs a value',
     'serverName (--server-name, PERIDOTSPRING_SERVER_NAME) is required',
     'platformAddress',
@@ -43,8 +46,8 @@
   }
 });
 
-/** Variable, faulty value, words of the fault. */
-const faults: readonly (readonly [string, string, string])[] = [
+/** Environment variable without its prefix, invalid value, text that the error message contains. */
+const invalidValues: readonly (readonly [string, string, string])[] = [
   ['LEASE_MILLISECONDS', '499', 'from 500 to 30000'],
   ['LEASE_MILLISECONDS', '3e3', 'whole number'],
   ['LEASE_MILLISECONDS', '', 'whole number'],
@@ -61,55 +64,55 @@
   ['OPERATOR_SECRET', 'short-secret', 'must have 16 to 256'],
 ];
 
-for (const [variable, value, words] of faults) {
-  test(`a faulty value is named with its range: ${variable}=${value}`, () => {
+for (const [variable, value, words] of invalidValues) {
+  test(`reports an invalid value with its range: ${variable}=${value}`, () => {
     const lease = variable === 'RETENTION_MILLISECONDS' ? '30000' : '3000';
     const environment = {
-      ...complete,
+      ...validEnvironment,
       PERIDOTSPRING_LEASE_MILLISECONDS: lease,
       [`PERIDOTSPRING_${variable}`]: value,
     };
     const request = readStartRequest([], environment);
     assert.is(request.kind === 'exit' ? request.code : 0, 2);
-    assert.ok(errorsOf(request).includes(words), errorsOf(request));
+    assert.ok(errorOutputOf(request).includes(words), errorOutputOf(request));
   });
 }
 
-test('secrets appear neither in faults nor in what is printed', () => {
-  const shortSecret = { ...complete, PERIDOTSPRING_OPERATOR_SECRET: 'too-short' };
-  assert.not(errorsOf(readStartRequest([], shortSecret)).includes('too-short'));
-  const misspelt = errorsOf(
-    readStartRequest(['--peer-secrt=hunter2-hunter2', 'hunter3'], complete),
+test('prints secrets neither in errors nor in the list of settings', () => {
+  const shortSecret = { ...validEnvironment, PERIDOTSPRING_OPERATOR_SECRET: 'too-short' };
+  assert.not(errorOutputOf(readStartRequest([], shortSecret)).includes('too-short'));
+  const misspelt = errorOutputOf(
+    readStartRequest(['--peer-secrt=hunter2-hunter2', 'hunter3'], validEnvironment),
   );
   assert.not(misspelt.includes('hunter'), misspelt);
-  const printed = readStartRequest(['--print-settings'], complete);
+  const printed = readStartRequest(['--print-settings'], validEnvironment);
   const output = printed.kind === 'exit' ? printed.output : '';
   assert.match(output, /peerSecret=\(set\)\npreviousPeerSecret=\(none\)/);
   assert.match(output, /peerAdvertisedAddress=10\.0\.0\.7:7101/);
   for (const secret of ['peer-secret', 'operator-secret']) assert.not(output.includes(secret));
 });
 
-test('checking exits without starting, with 0 only for valid settings', () => {
-  const codes = [complete, {}].map((environment) => {
+test('--check-settings exits without starting, with code 0 only for valid settings', () => {
+  const codes = [validEnvironment, {}].map((environment) => {
     const request = readStartRequest(['--check-settings'], environment);
     return request.kind === 'exit' ? request.code : undefined;
   });
   assert.equal(codes, [0, 2]);
 });
 
-test('a misspelt variable is pointed out, when it starts and when it checks', () => {
+test('reports a misspelled variable, both when starting and when only checking', () => {
   const checked = readStartRequest(['--check-settings'], {
-    ...complete,
+    ...validEnvironment,
     PERIDOTSPRING_LEASE_MS: '1',
   });
-  assert.is(errorsOf(checked), 'no setting is called PERIDOTSPRING_LEASE_MS\n');
-  const request = readStartRequest([], { ...complete, PERIDOTSPRING_LEASE_MS: '1' });
+  assert.is(errorOutputOf(checked), 'unknown environment variable PERIDOTSPRING_LEASE_MS\n');
+  const request = readStartRequest([], { ...validEnvironment, PERIDOTSPRING_LEASE_MS: '1' });
   assert.equal(request.kind === 'start' ? request.unknownVariables : [], [
     'PERIDOTSPRING_LEASE_MS',
   ]);
 });
 
-test('the page of settings is the one that the definitions generate', () => {
+test('docs/settings.md is the page generated from the definitions', () => {
   const page = readFileSync(new URL('../../../../../docs/settings.md', import.meta.url), 'utf8');
   assert.is(page, settingsPage());
 });
--- a/packages/daemon/tests/shared/caller.ts
+++ b/packages/daemon/tests/shared/caller.ts
@@ -4,31 +4,34 @@
 
 import type { FleetServer } from '@peridotspring/stand-ins';
 
-/** Long enough that no call of a test fails because the machine is busy. */
+/** Long enough that no call in a test exceeds its deadline only because the machine is busy. */
 export const longDeadlineMilliseconds = 20_000;
-/** A node that is silent for this long after the deadline has lost the request. */
-const silenceMilliseconds = longDeadlineMilliseconds + 20_000;
+/** A node that sends no response within 20 s after the default deadline has lost the request. */
+const responseTimeoutMilliseconds = longDeadlineMilliseconds + 20_000;
 
-/** A caller that would wait for ever; a fault, not an outcome. */
-class UnansweredError extends Error {
+/**
+ * Thrown if a node never responds to a request. This is a defect of the node, not an outcome of
+ * the request.
+ */
+class NoResponseError extends Error {
   public override readonly name = 'UnansweredError';
 }
 
-/** One call of a test. */
+/** Options of one request of a test. */
 export interface CallOptions {
   readonly method?: string;
   readonly key?: string;
   readonly body?: Uint8Array;
   readonly deadlineMilliseconds?: number;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Closes the connection when it aborts, as a caller that goes away does. */
+  /** Closes the connection when aborted, as a caller that disconnects does. */
   readonly signal?: AbortSignal;
 }
 
-/** What a caller got. */
+/** The response and outcome that a caller received. */
 export interface CallResult {
-  /** False when the connection broke before the end of the answer. */
-  readonly isWhole: boolean;
+  /** False if the connection was closed before the end of the response. */
+  readonly isComplete: boolean;
   readonly status: number;
   readonly outcome: string;
   readonly reason: string;
@@ -39,8 +42,8 @@
 
 const agent = new Agent({ keepAlive: false, maxSockets: 512 });
 
-/** Sends a request and resolves once the head of its answer is there. */
-export function open(
+/** Sends a request and resolves once the head of the response has arrived. */
+export function openResponse(
   entry: FleetServer,
   path: string,
   options: CallOptions = {},
@@ -61,8 +64,8 @@
       port: entry.callerPort,
       signal: options.signal,
     });
-    outgoing.setTimeout(silenceMilliseconds, () => {
-      outgoing.destroy(new UnansweredError(`${method} ${path} at ${entry.plan.server}`));
+    outgoing.setTimeout(responseTimeoutMilliseconds, () => {
+      outgoing.destroy(new NoResponseError(`${method} ${path} at ${entry.plan.server}`));
     });
     outgoing.on('response', resolve);
     outgoing.on('error', reject);
@@ -70,56 +73,58 @@
   });
 }
 
-/** Reads an answer to its end. */
-export async function read(response: IncomingMessage): Promise<CallResult> {
+/** Reads a response to its end. */
+export async function readResult(response: IncomingMessage): Promise<CallResult> {
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of response) chunks.push(chunk as Buffer);
   } catch {
-    // A cut answer shows in `complete`.
+    // `response.complete` is false for a truncated response.
   }
   const { headers } = response;
   return {
     attempt: String(headers['peridotspring-attempt'] ?? ''),
     body: Buffer.concat(chunks),
     headers,
-    isWhole: response.complete,
+    isComplete: response.complete,
     outcome: String(headers['peridotspring-outcome'] ?? ''),
     reason: String(headers['peridotspring-reason'] ?? ''),
     status: response.statusCode ?? 0,
   };
 }
 
-const brokenConnection: CallResult = {
+const brokenConnectionResult: CallResult = {
   attempt: '',
   body: Buffer.alloc(0),
   headers: {},
-  isWhole: false,
+  isComplete: false,
   outcome: 'broken-connection',
   reason: '',
   status: 0,
 };
 
-/** Sends a request and reads the answer; a broken connection is a result as well. */
+/** Sends a request and reads the response; a broken connection is returned as a result, too. */
 export async function call(
   entry: FleetServer,
   path: string,
   options: CallOptions = {},
 ): Promise<CallResult> {
   try {
-    return await read(await open(entry, path, options));
+    return await readResult(await openResponse(entry, path, options));
   } catch (error) {
-    if (error instanceof UnansweredError) throw error;
-    return brokenConnection;
+    if (error instanceof NoResponseError) throw error;
+    return brokenConnectionResult;
   }
 }
 
-/** Outcome, reason and status in one line, for messages and comparisons. */
-export function summaryOf({ isWhole, outcome, reason, status }: CallResult): string {
-  return [isWhole ? 'whole' : 'cut', outcome, reason, status].join(' ').replace(/ {2,}/g, ' ');
+/** Formats completeness, outcome, reason and status as one line, for messages and comparisons. */
+export function summaryOf({ isComplete, outcome, reason, status }: CallResult): string {
+  return [isComplete ? 'complete' : 'truncated', outcome, reason, status]
+    .join(' ')
+    .replace(/ {2,}/g, ' ');
 }
 
-/** The number of results with each summary. */
+/** Counts the results by summary. */
 export function countSummaries(results: readonly CallResult[]): Readonly<Record<string, number>> {
   const counts: Record<string, number> = {};
   for (const result of results) {
@@ -129,7 +134,7 @@
   return counts;
 }
 
-/** A UUIDv7 of this moment. */
+/** Creates an idempotency key: a UUIDv7 with the current time. */
 export function newKey(): string {
   const bytes = randomBytes(16);
   bytes.writeUIntBE(Date.now(), 0, 6);
--- a/packages/daemon/tests/shared/raw-caller.ts
+++ b/packages/daemon/tests/shared/raw-caller.ts
@@ -3,7 +3,7 @@
 
 import type { FleetServer } from '@peridotspring/stand-ins';
 
-/** A connection on which requests are written byte by byte, also those that no client would send. */
+/** A raw TCP connection to an entry, for requests that an HTTP client would not send. */
 export class RawCaller {
   private readonly socket: Socket;
 
@@ -13,7 +13,7 @@
     this.socket.resume();
   }
 
-  /** Writes the head of a request; it need not wait for the answer to the one before. */
+  /** Writes the head of a request without waiting for the response to the previous one. */
   public send(method: string, path: string, headers: readonly string[] = []): void {
     this.socket.write([`${method} ${path} HTTP/1.1`, 'host: x', ...headers, '', ''].join('\r\n'));
   }
--- a/packages/daemon/tests/shared/steady-load.ts
+++ b/packages/daemon/tests/shared/steady-load.ts
@@ -4,14 +4,14 @@
 
 const pauseMilliseconds = 5;
 
-/** Callers that send one request after the other until they are stopped. */
+/** Closed-loop load: each caller sends one request at a time until the load is stopped. */
 export class SteadyLoad {
   public readonly results: CallResult[] = [];
 
   private isStopped = false;
   private readonly callers: readonly Promise<void>[];
 
-  /** `send` makes one call of the caller with the given number. */
+  /** `send` sends one request of the caller with the given number. */
   public constructor(
     callers: number,
     private readonly send: (caller: number) => Promise<CallResult>,
@@ -19,7 +19,7 @@
     this.callers = Array.from({ length: callers }, (_, index) => this.run(index));
   }
 
-  /** Resolves when the callers have their last answers. */
+  /** Stops the callers and resolves once all of them have received their last response. */
   public async stop(): Promise<readonly CallResult[]> {
     this.isStopped = true;
     await Promise.all(this.callers);
--- a/packages/daemon/tests/shared/tcp-forwarder.ts
+++ b/packages/daemon/tests/shared/tcp-forwarder.ts
@@ -2,9 +2,8 @@
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** Forwards connections to a loopback port until the link is cut. */
+/** Forwards TCP connections to a loopback port, except while the link is cut. */
 export class TcpForwarder {
-  /** Port to which connections are forwarded. */
   public targetPort = 0;
 
   private readonly sockets = new Set<Socket>();
@@ -17,7 +16,7 @@
     });
   }
 
-  /** Starts to listen on any loopback port and returns it. */
+  /** Starts listening on a free loopback port and returns its number. */
   public async listen(): Promise<number> {
     this.server.listen(0, '127.0.0.1');
     await once(this.server, 'listening');
@@ -25,13 +24,13 @@
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Closes every connection and closes new ones at once, until `mend`. */
+  /** Closes all connections, and closes new ones immediately, until `restore` is called. */
   public cut(): void {
     this.isCut = true;
     for (const socket of this.sockets) socket.destroy();
   }
 
-  public mend(): void {
+  public restore(): void {
     this.isCut = false;
   }
 
--- a/packages/daemon/tests/shared/test-fleet.ts
+++ b/packages/daemon/tests/shared/test-fleet.ts
@@ -7,19 +7,19 @@
 
 const zones = ['regina-hall', 'saskatoon-hall', 'brandon-hall'] as const;
 
-/** Declarations without a ramp, so that every slot is usable at once. */
-export const declarations = {
+/** Service declarations without a ramp, so that every slot is usable immediately. */
+export const serviceDeclarations = {
   issuance:
     'declare service issuance request status GET "/" idempotent ' +
     'request issue POST "/" non-idempotent hedging off ramp 0ms',
   provenance: 'declare service provenance request lookup * "/" idempotent hedging off ramp 0ms',
 } as const;
 
-/** Name of a service that the test fleets run. */
-export type TestService = keyof typeof declarations;
+/** Name of a service that the test clusters run. */
+export type TestService = keyof typeof serviceDeclarations;
 
-/** A server with 10 slots in the zone at an index. */
-export function planOf(service: TestService, number: number, zoneIndex = number): ServerPlan {
+/** Plans a server with 10 slots in the availability zone with the given index. */
+export function createPlan(service: TestService, number: number, zoneIndex = number): ServerPlan {
   return {
     availabilityZone: zones[zoneIndex % zones.length] ?? zones[0],
     connections: 250,
@@ -30,26 +30,28 @@
   };
 }
 
-/** What a test fleet consists of. */
+/** Options of a cluster of processes for tests. */
 export interface TestFleetOptions {
   readonly plans: readonly ServerPlan[];
   readonly nodeFlags?: readonly string[];
   readonly nodeFlagsOf?: (server: string, peerPort: number) => readonly string[];
 }
 
-function program(path: string): string {
+function programPath(path: string): string {
   return fileURLToPath(new URL(`../../../../${path}`, import.meta.url));
 }
 
-/** Starts platform, nodes and upstreams, declares the services and waits until all are usable. */
+/**
+ * Starts the platform, nodes and upstreams, declares the services and waits until all are usable.
+ */
 export async function startTestFleet(options: TestFleetOptions): Promise<ProcessFleet> {
   const fleet = new ProcessFleet({
-    daemonScript: program('daemon/dist/src/main.js'),
+    daemonScript: programPath('daemon/dist/src/main.js'),
     logFolder: process.env.TEST_FLEET_LOGS,
     nodeFlags: options.nodeFlags,
     nodeFlagsOf: options.nodeFlagsOf,
-    platformScript: program('stand-ins/dist/src/platform-main.js'),
-    upstreamScript: program('stand-ins/dist/src/upstream/main.js'),
+    platformScript: programPath('stand-ins/dist/src/platform-main.js'),
+    upstreamScript: programPath('stand-ins/dist/src/upstream/main.js'),
   });
   try {
     await fleet.startPlatform();
@@ -69,7 +71,7 @@
   services: readonly TestService[],
 ): Promise<void> {
   const [first] = fleet.servers.values();
-  const texts = services.map((service) => declarations[service]);
+  const texts = services.map((service) => serviceDeclarations[service]);
   await waitFor('the services are declared and in force everywhere', async () => {
     const text = `begin; ${texts.join('; ')}; commit wait up to 20s`;
     const reply = await askOperator(first?.operatorPort ?? 0, text);
@@ -81,19 +83,19 @@
   });
 }
 
-/** Waits until every node sees the given number of members serving. */
+/** Waits until every node sees at least the given number of members serving or warming up. */
 export async function waitForMembers(fleet: ProcessFleet, count: number): Promise<void> {
   for (const server of fleet.servers.values()) {
     await waitFor(`${server.plan.server} sees ${count} members`, async () => {
-      const serving = await gaugeOf(server, 'members_serving');
-      const warming = await gaugeOf(server, 'members_warming');
+      const serving = await readGauge(server, 'members_serving');
+      const warming = await readGauge(server, 'members_warming');
       return serving + warming >= count;
     });
   }
 }
 
-/** Rows of an operator's question at a node. */
-export async function rowsOf(
+/** Asks a node an operator's question and returns the rows of the answer. */
+export async function queryRows(
   server: FleetServer,
   question: string,
 ): Promise<readonly Readonly<Record<string, unknown>>[]> {
@@ -101,7 +103,7 @@
   return (body as { readonly rows?: readonly Readonly<Record<string, unknown>>[] }).rows ?? [];
 }
 
-async function metricLines(server: FleetServer, name: string): Promise<readonly string[]> {
+async function readMetricLines(server: FleetServer, name: string): Promise<readonly string[]> {
   const response = await fetch(`http://127.0.0.1:${server.operatorPort}/metrics`, {
     headers: { authorization: `Bearer ${fleetOperatorSecret}` },
   });
@@ -109,50 +111,50 @@
   return lines.filter((line) => line.startsWith(`${name} `) || line.startsWith(`${name}{`));
 }
 
-function valueOf(line: string): number {
+function parseMetricValue(line: string): number {
   return Number(line.slice(line.lastIndexOf(' ') + 1));
 }
 
-/** Value of a gauge of a node, by its name without the prefix. */
-export async function gaugeOf(server: FleetServer, name: string): Promise<number> {
-  const [line = ' 0'] = await metricLines(server, `peridotspring_${name}`);
-  return valueOf(line);
+/** Reads a gauge of a node. The name is given without its prefix. */
+export async function readGauge(server: FleetServer, name: string): Promise<number> {
+  const [line = ' 0'] = await readMetricLines(server, `peridotspring_${name}`);
+  return parseMetricValue(line);
 }
 
-/** Sum of a node's counter over all series with the given label values. */
-export async function counterOf(
+/** Sums a counter of a node over all series that have the given labels. */
+export async function readCounter(
   server: FleetServer,
   name: string,
   labels: Readonly<Record<string, string>> = {},
 ): Promise<number> {
-  const wanted = Object.entries(labels).map(([label, value]) => `${label}="${value}"`);
-  const lines = await metricLines(server, `peridotspring_${name}_total`);
+  const expectedLabels = Object.entries(labels).map(([label, value]) => `${label}="${value}"`);
+  const lines = await readMetricLines(server, `peridotspring_${name}_total`);
   return lines
-    .filter((line) => wanted.every((label) => line.includes(label)))
-    .reduce((sum, line) => sum + valueOf(line), 0);
+    .filter((line) => expectedLabels.every((label) => line.includes(label)))
+    .reduce((sum, line) => sum + parseMetricValue(line), 0);
 }
 
-/** The execution log of a server's upstream. */
-export async function executionsOf(server: FleetServer): Promise<readonly Execution[]> {
+/** Reads the execution log of the upstream of a server. */
+export async function readExecutions(server: FleetServer): Promise<readonly Execution[]> {
   const response = await fetch(`http://${server.control}/control/executions`);
   const { executions } = (await response.json()) as { readonly executions: readonly Execution[] };
   return executions;
 }
 
-/** The executions of all upstreams. */
-export async function allExecutions(fleet: ProcessFleet): Promise<readonly Execution[]> {
-  const logs = await Promise.all([...fleet.servers.values()].map(executionsOf));
+/** Reads the execution logs of all upstreams. */
+export async function readAllExecutions(fleet: ProcessFleet): Promise<readonly Execution[]> {
+  const logs = await Promise.all([...fleet.servers.values()].map(readExecutions));
   return logs.flat();
 }
 
-/** Requests that a server's upstream runs now. */
-export async function inFlightOf(server: FleetServer): Promise<number> {
+/** Reads the number of requests that the upstream of a server is running. */
+export async function readInFlight(server: FleetServer): Promise<number> {
   const response = await fetch(`http://${server.control}/control/state`);
   return ((await response.json()) as { readonly inFlight: number }).inFlight;
 }
 
-/** Injects faults at a server's upstream, or ends them. */
-export async function changeFaults(
+/** Injects or removes faults at the upstream of a server. */
+export async function setUpstreamFaults(
   server: FleetServer,
   faults: Partial<UpstreamFaults>,
 ): Promise<void> {
@@ -162,8 +164,8 @@
   });
 }
 
-/** Injects a fault at the platform stand-in, or ends it. */
-export async function injectPlatformFault(fleet: ProcessFleet, fault: object): Promise<void> {
+/** Injects a fault at the simulated platform, or removes it. */
+export async function setPlatformFault(fleet: ProcessFleet, fault: object): Promise<void> {
   await fetch(`http://127.0.0.1:${fleet.platformPort}/control/fault`, {
     body: JSON.stringify(fault),
     method: 'POST',
--- a/packages/daemon/tests/shared/wait-for.ts
+++ b/packages/daemon/tests/shared/wait-for.ts
@@ -1,15 +1,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** Only a fault makes a condition take this long, however busy the machine is. */
-const limitMilliseconds = 60_000;
-const pauseMilliseconds = 25;
+/** Long enough that a timeout indicates a defect, even on a busy machine. */
+const timeoutMilliseconds = 60_000;
+const pollIntervalMilliseconds = 25;
 
-/** Waits until a condition holds; a condition that throws does not hold yet. */
+/** Polls a condition until it holds. A condition that throws is treated as not yet met. */
 export async function waitFor(
   description: string,
   condition: () => Promise<boolean> | boolean,
 ): Promise<void> {
-  const endsAt = performance.now() + limitMilliseconds;
+  const endsAt = performance.now() + timeoutMilliseconds;
   for (;;) {
     let detail = '';
     try {
@@ -17,7 +17,8 @@
     } catch (error) {
       detail = `: ${String(error)}`;
     }
-    if (performance.now() > endsAt) throw new Error(`waited in vain until ${description}${detail}`);
-    await sleep(pauseMilliseconds);
+    if (performance.now() > endsAt)
+      throw new Error(`timed out waiting until ${description}${detail}`);
+    await sleep(pollIntervalMilliseconds);
   }
 }
