--- a/packages/callers/src/caller-server-options.ts
+++ b/packages/callers/src/caller-server-options.ts
@@ -1,5 +1,5 @@
 import type {
-  CallerGoneMessage,
+  CallerDisconnectedMessage,
   CallerRequestMessage,
   CallOutcome,
   Configuration,
@@ -44,6 +44,6 @@
   readonly configuration: () => Configuration;
   readonly isStopping: () => boolean;
   readonly clock: () => number;
-  readonly deliver: (message: CallerRequestMessage | CallerGoneMessage) => void;
+  readonly deliver: (message: CallerRequestMessage | CallerDisconnectedMessage) => void;
   readonly onFinished: (request: FinishedRequest) => void;
 }
--- a/packages/callers/tests/shared/test-server.ts
+++ b/packages/callers/tests/shared/test-server.ts
@@ -1,5 +1,5 @@
 import type {
-  CallerGoneMessage,
+  CallerDisconnectedMessage,
   CallerRequestMessage,
   Configuration,
   RequestClass,
@@ -48,7 +48,7 @@
 };
 
 export class TestServer {
-  public readonly delivered: (CallerRequestMessage | CallerGoneMessage)[] = [];
+  public readonly delivered: (CallerRequestMessage | CallerDisconnectedMessage)[] = [];
   public readonly finished: FinishedRequest[] = [];
   public isStopping = false;
   public port = 0;
--- a/packages/core/src/calls/call-contract.ts
+++ b/packages/core/src/calls/call-contract.ts
@@ -4,20 +4,24 @@
 import type { Target } from '../routing/router-contract.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 
-/** A call to a service, made for a caller or for a key's home. */
+/** A call to a service, made for a caller or for the home of a key. */
 export interface Call {
   readonly callNumber: number;
   readonly service: string;
   readonly requestClass: RequestClass;
   /** Monotonic time by which the outcome is due. */
   readonly deadline: number;
-  /** Whether the body can be sent again after it was consumed. */
-  readonly bodyHeld: boolean;
-  /** Tried first if it may be chosen: the home's own server. */
+  /**
+   * Whether the whole body is buffered, so that it can be sent again after an upstream consumed it.
+   */
+  readonly isBodyReplayable: boolean;
+  /** Server to try first if it is available; set to the home's own server. */
   readonly preferredServer?: string | undefined;
 }
 
-/** Sends the call to a target. `attemptId` is unique in the node's life and names it on the wire. */
+/**
+ * Sends the call to a target. `attemptId` is unique within a node's incarnation and sent in frames.
+ */
 export interface DispatchCommand {
   readonly kind: 'dispatch';
   readonly callNumber: number;
@@ -28,7 +32,7 @@
   readonly retryReason?: RetryReason | undefined;
 }
 
-/** Withdraws an attempt whose answer is no longer wanted. */
+/** Cancels an attempt whose answer is no longer needed. */
 export interface CancelAttemptCommand {
   readonly kind: 'cancel-attempt';
   readonly attemptId: number;
@@ -45,41 +49,44 @@
 
 export type CallCommand = DispatchCommand | CancelAttemptCommand | ConcludeCommand;
 
-/** Tokens that successes have earned and repeats have spent, since the start. */
+/** Tokens earned by successes and spent on retries and hedges since the process started. */
 export interface RetryBudgetUse {
   readonly service: string;
   readonly earned: number;
   readonly spent: number;
 }
 
-/** Runs calls: first attempts, retries, hedges, deadlines. */
+/** Runs calls: manages their first attempts, retries, hedges and deadlines. */
 export interface CallEngineContract {
   configure(configuration: ServiceConfiguration): void;
   begin(call: Call, now: ClockReading): readonly CallCommand[];
-  /** A streamed body is being consumed from now on; the call can't be sent elsewhere. */
-  admitted(attemptId: number, now: ClockReading): readonly CallCommand[];
-  refused(attemptId: number, refusal: Refusal, now: ClockReading): readonly CallCommand[];
-  answered(
+  /**
+   * The upstream starts to consume a streamed body; the call can't be sent to another server any
+   * more.
+   */
+  onAdmitted(attemptId: number, now: ClockReading): readonly CallCommand[];
+  onRefused(attemptId: number, refusal: Refusal, now: ClockReading): readonly CallCommand[];
+  onAnswered(
     attemptId: number,
     status: number,
     load: LoadReport | undefined,
     now: ClockReading,
   ): readonly CallCommand[];
-  /** The attempt may have run and gave no answer. */
-  failed(
+  /** The attempt failed without an answer; it may have run. */
+  onFailed(
     attemptId: number,
     load: LoadReport | undefined,
     now: ClockReading,
   ): readonly CallCommand[];
-  /** The frame could not be sent at all: the attempt did not start. */
-  notSent(attemptId: number, congested: boolean, now: ClockReading): readonly CallCommand[];
-  /** The connection to a server was lost: every attempt there may have run. */
-  peerLost(server: string, now: ClockReading): readonly CallCommand[];
-  /** The caller went away. */
+  /** The frame could not be sent, so the attempt did not start. */
+  onNotSent(attemptId: number, isCongested: boolean, now: ClockReading): readonly CallCommand[];
+  /** The connection to a server was lost; every attempt there may have run. */
+  onPeerLost(server: string, now: ClockReading): readonly CallCommand[];
+  /** The caller disconnected. */
   abandon(callNumber: number, now: ClockReading): readonly CallCommand[];
   tick(now: ClockReading): readonly CallCommand[];
   retryBudgets(): readonly RetryBudgetUse[];
   readonly callsInProgress: number;
-  /** Results that came for attempts which were no longer wanted; they were ignored. */
+  /** Number of results that were ignored because their attempt had already ended. */
   readonly lateResults: number;
 }
--- a/packages/core/src/calls/call-state.ts
+++ b/packages/core/src/calls/call-state.ts
@@ -3,7 +3,7 @@
 import type { Target } from '../routing/router-contract.js';
 import type { Call } from './call-contract.js';
 
-/** One sending of a call to one target. */
+/** One attempt to run a call at one target. */
 export interface Attempt {
   readonly attemptId: number;
   readonly call: CallState;
@@ -11,26 +11,28 @@
   readonly sentAt: number;
 }
 
-/** A call in progress. */
+/** The state of a call in progress. */
 export class CallState {
-  /** Attempts without a result. */
-  public readonly live = new Set<Attempt>();
-  /** Servers that were tried and are not tried again. */
-  public readonly tried = new Set<string>();
+  /** Attempts in progress. */
+  public readonly liveAttempts = new Set<Attempt>();
+  /** Servers that an attempt was sent to; none of them gets another attempt of this call. */
+  public readonly triedServers = new Set<string>();
   public refusals = 0;
-  /** Retries and hedges. */
-  public repeats = 0;
-  public hedged = false;
-  /** A streamed body was consumed by an upstream, so that the call can't be sent elsewhere. */
-  public bodyConsumed = false;
-  /** Why an earlier attempt may have run without an answer; undefined if none may have. */
-  public mayHaveRun: UnknownReason | undefined;
+  /** Retries and hedges that used the retry budget; retries after a refusal don't. */
+  public budgetedRetries = 0;
+  public isHedged = false;
+  /**
+   * Whether an upstream consumed the streamed body, so that the call can't be sent to another one.
+   */
+  public isBodyConsumed = false;
+  /** Why an earlier attempt may have run without an answer; undefined if none can have run. */
+  public possibleRunReason: UnknownReason | undefined;
   private smallestRetryAfter: number | undefined;
   private refusalReason: RefusalReason | undefined;
 
   public constructor(public readonly call: Call) {}
 
-  public noteRefusal(refusal: Refusal): void {
+  public recordRefusal(refusal: Refusal): void {
     this.refusals += 1;
     const isFirst = this.refusalReason === undefined;
     this.refusalReason =
@@ -42,7 +44,7 @@
     this.smallestRetryAfter = Math.min(this.smallestRetryAfter ?? Infinity, retryAfter);
   }
 
-  /** The final refusal; without any target there was none to refuse. */
+  /** The refusal to answer the caller with; `no-upstream` if no target was found to try. */
   public finalRefusal(retryAfterNoUpstream: number): RefusedOutcome {
     if (this.refusalReason === undefined) {
       return {
--- a/packages/core/src/calls/call-timers.ts
+++ b/packages/core/src/calls/call-timers.ts
@@ -1,7 +1,7 @@
 import { MinimumHeap } from '../shared/minimum-heap.js';
 import type { CallState } from './call-state.js';
 
-/** What is due for a call. */
+/** What happens to a call when the timer is due. */
 export type TimerKind = 'deadline' | 'hedge';
 
 interface Timer {
@@ -9,10 +9,10 @@
   readonly state: CallState;
 }
 
-/** Outdated timers are dropped together when they are more than half, above this number. */
-const smallestCompaction = 1_024;
+/** Heaps with fewer timers are not compacted. */
+const minimumCompactionSize = 1_024;
 
-/** Deadlines and hedge times of calls. A tick costs time for the due ones only. */
+/** Deadlines and hedge timers of calls. A tick costs time only for the timers that are due. */
 export class CallTimers {
   private readonly heap = new MinimumHeap<Timer>();
 
@@ -30,9 +30,9 @@
     }
   }
 
-  /** Long deadlines of calls that ended early would fill the heap. */
+  /** Drops the timers of ended calls, which would otherwise fill the heap until their deadlines. */
   public compact(callsInProgress: number): void {
-    if (this.heap.size < smallestCompaction || this.heap.size < 4 * callsInProgress) return;
+    if (this.heap.size < minimumCompactionSize || this.heap.size < 4 * callsInProgress) return;
     this.heap.retain((timer) => this.isInProgress(timer.state));
   }
 }
--- a/packages/core/src/calls/retry-budget.ts
+++ b/packages/core/src/calls/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
- * A token bucket that successes fill. Retries and hedges share it, so that repeats stay a fixed share
- * of the successes however deep the chain of calls is.
+ * Token bucket that successes fill and that retries and hedges draw from. It limits them to a fixed
+ * share of the successes, however deep the chain of calls is.
  */
 export class RetryBudget {
   private tokens: number;
@@ -21,12 +21,12 @@
     this.tokens = Math.min(this.tokens, maximum);
   }
 
-  public succeeded(): void {
+  public onSuccess(): void {
     this.tokens = Math.min(this.maximum, this.tokens + this.ratio);
     this.earnedTokens += this.ratio;
   }
 
-  /** Tokens at the start and from successes. */
+  /** Tokens of the initial bucket and from successes. */
   public get earned(): number {
     return this.earnedTokens;
   }
--- a/packages/core/src/calls/service-budgets.ts
+++ b/packages/core/src/calls/service-budgets.ts
@@ -3,24 +3,24 @@
 import type { RetryBudgetUse } from './call-contract.js';
 import { RetryBudget } from './retry-budget.js';
 
-/** What a service allows beyond first attempts. */
+/** What a service permits besides first attempts. */
 export interface ServiceBudget {
   readonly budget: RetryBudget;
   readonly hedging: boolean;
 }
 
-/** The retry and hedge budget of each service. */
+/** The budget of each service for retries and hedges. */
 export class ServiceBudgets {
   private readonly services = new Map<string, ServiceBudget>();
 
   public configure(configuration: ServiceConfiguration): void {
     const { hedging, name, retryBudgetMaximum, retryBudgetRatio } = configuration;
-    const { budget } = this.of(name);
+    const { budget } = this.getOrCreate(name);
     budget.configure(retryBudgetRatio, retryBudgetMaximum);
     this.services.set(name, { budget, hedging });
   }
 
-  public uses(): readonly RetryBudgetUse[] {
+  public usage(): readonly RetryBudgetUse[] {
     return [...this.services].map(([service, { budget }]) => ({
       earned: budget.earned,
       service,
@@ -28,8 +28,8 @@
     }));
   }
 
-  /** A service that was not configured has the default budget. */
-  public of(name: string): ServiceBudget {
+  /** Returns the budget of a service; a service that is not configured gets the default budget. */
+  public getOrCreate(name: string): ServiceBudget {
     const known = this.services.get(name);
     if (known !== undefined) return known;
     const { hedging, retryBudgetMaximum, retryBudgetRatio } = serviceDefaults;
--- a/packages/core/src/configuration/configuration-change.ts
+++ b/packages/core/src/configuration/configuration-change.ts
@@ -1,6 +1,6 @@
 import type { Configuration, ServiceConfiguration } from '../messages/service-configuration.js';
 
-/** What turns one configuration into another. */
+/** The difference between two configurations. */
 export interface ConfigurationChange {
   /** New value of each changed service; undefined where the service is removed. */
   readonly services: ReadonlyMap<string, ServiceConfiguration | undefined>;
@@ -16,16 +16,19 @@
     if (!(name in to.services)) services.set(name, undefined);
   }
   for (const [name, service] of Object.entries(to.services)) {
-    if (!isSameValue(from.services[name], service)) services.set(name, service);
+    if (!isDeepEqual(from.services[name], service)) services.set(name, service);
   }
   return {
     services,
-    drainedServers: diffNames(from.drainedServers, to.drainedServers),
-    drainedAvailabilityZones: diffNames(from.drainedAvailabilityZones, to.drainedAvailabilityZones),
+    drainedServers: diffNameLists(from.drainedServers, to.drainedServers),
+    drainedAvailabilityZones: diffNameLists(
+      from.drainedAvailabilityZones,
+      to.drainedAvailabilityZones,
+    ),
   };
 }
 
-/** Returns the configuration with the change made, under a new revision. */
+/** Returns the configuration with the change applied, under a new revision. */
 export function applyChange(
   configuration: Configuration,
   change: ConfigurationChange,
@@ -39,15 +42,15 @@
   return {
     revision,
     services,
-    drainedServers: applyNames(configuration.drainedServers, change.drainedServers),
-    drainedAvailabilityZones: applyNames(
+    drainedServers: applyNameChanges(configuration.drainedServers, change.drainedServers),
+    drainedAvailabilityZones: applyNameChanges(
       configuration.drainedAvailabilityZones,
       change.drainedAvailabilityZones,
     ),
   };
 }
 
-/** Whether the change leaves everything as it is. */
+/** Whether the change changes nothing. */
 export function isEmptyChange(change: ConfigurationChange): boolean {
   return change.services.size === 0 && !changesDrains(change);
 }
@@ -57,7 +60,7 @@
   return change.drainedServers.size > 0 || change.drainedAvailabilityZones.size > 0;
 }
 
-/** Whether two changes from the same base touch the same service, server or availability zone. */
+/** Whether two changes of the same base change the same service, server or availability zone. */
 export function changesOverlap(left: ConfigurationChange, right: ConfigurationChange): boolean {
   return (
     sharesKey(left.services, right.services) ||
@@ -66,7 +69,7 @@
   );
 }
 
-/** Names of the changed services, and of drained or restored servers and zones, for an operator. */
+/** Names the changed services and the drained or restored servers and zones, for an operator. */
 export function describeChangedParts(change: ConfigurationChange): readonly string[] {
   return [
     ...change.services.keys(),
@@ -85,7 +88,10 @@
   return false;
 }
 
-function diffNames(from: readonly string[], to: readonly string[]): ReadonlyMap<string, boolean> {
+function diffNameLists(
+  from: readonly string[],
+  to: readonly string[],
+): ReadonlyMap<string, boolean> {
   const changed = new Map<string, boolean>();
   if (from === to) return changed;
   const before = new Set(from);
@@ -99,7 +105,7 @@
   return changed;
 }
 
-function applyNames(
+function applyNameChanges(
   names: readonly string[],
   changed: ReadonlyMap<string, boolean>,
 ): readonly string[] {
@@ -113,7 +119,7 @@
 }
 
 /** Compares JSON values; the order of an object's fields does not matter. */
-function isSameValue(left: unknown, right: unknown): boolean {
+function isDeepEqual(left: unknown, right: unknown): boolean {
   if (left === right) return true;
   if (typeof left !== 'object' || typeof right !== 'object') return false;
   if (left === null || right === null || Array.isArray(left) !== Array.isArray(right)) return false;
@@ -121,5 +127,5 @@
   const rightFields = right as Readonly<Record<string, unknown>>;
   const keys = Object.keys(leftFields);
   if (keys.length !== Object.keys(rightFields).length) return false;
-  return keys.every((key) => key in rightFields && isSameValue(leftFields[key], rightFields[key]));
+  return keys.every((key) => key in rightFields && isDeepEqual(leftFields[key], rightFields[key]));
 }
--- a/packages/core/src/configuration/configuration-contract.ts
+++ b/packages/core/src/configuration/configuration-contract.ts
@@ -17,14 +17,14 @@
   readonly frame: ConfigurationFrame;
 }
 
-/** Asks for a store operation; its result comes back under the identifier. */
+/** Requests a store operation; its result is passed to `storeResult` with the same identifier. */
 export interface ConfigurationStoreCommand {
   readonly kind: 'store';
   readonly operationId: number;
   readonly operation: StoreOperation;
 }
 
-/** Everything that a keeper asks of its surroundings. */
+/** The commands that a configuration manager returns for its node to carry out. */
 export type ConfigurationCommand =
   | SendConfigurationFrameCommand
   | ConfigurationStoreCommand
@@ -33,9 +33,9 @@
   | CountCommand
   | LogCommand;
 
-/** Keeps the configuration in force and makes changes to it. */
-export interface ConfigurationKeeperContract {
-  frame(
+/** Maintains the configuration in force and commits proposed changes to it. */
+export interface ConfigurationManagerContract {
+  handleFrame(
     from: string,
     frame: ConfigurationFrame,
     now: ClockReading,
@@ -46,14 +46,14 @@
     now: ClockReading,
   ): readonly ConfigurationCommand[];
   propose(message: ProposeConfigurationMessage, now: ClockReading): readonly ConfigurationCommand[];
-  revisionSeen(
+  onRevisionObserved(
     server: string,
     revision: number,
     now: ClockReading,
   ): readonly ConfigurationCommand[];
-  /** Members of the own availability zone that a new revision is passed on to. */
+  /** Sets the nodes of the own availability zone to which new revisions are announced. */
   setPeers(servers: readonly string[]): void;
-  /** Whether this node watches the store's root record. */
+  /** Sets whether this node watches the root record in the store. */
   setWatching(watching: boolean, now: ClockReading): readonly ConfigurationCommand[];
   tick(now: ClockReading): readonly ConfigurationCommand[];
   /** Monotonic time at which the next tick is needed. */
--- a/packages/core/src/configuration/configuration-spreader.ts
+++ b/packages/core/src/configuration/configuration-distributor.ts
@@ -4,28 +4,31 @@
 import { pickRandom, shuffled, type RandomSource } from '../shared/random-source.js';
 import type { ConfigurationHistory } from './configuration-history.js';
 
-/** Members that each node announces a new revision to; four reach 98 % of a zone, pings the rest. */
+/** Nodes to which each node announces a new revision; four reach 98 % of a zone, pings the rest. */
 const announcementFanOut = 4;
-/** A revision that was only heard of by a ping is usually announced within this time. */
+/** Delay before pulling a revision observed in a ping; most are announced within this time. */
 const pullDelayMilliseconds = 300;
 const pullTimeoutMilliseconds = 500;
-/** Whole configurations that a node sends per second; other nodes that start ask elsewhere. */
-const wholeAnswersPerSecond = 4;
+/**
+ * Limit on whole configurations that a node sends per second; nodes left unanswered ask other
+ * peers.
+ */
+const maximumFullPushesPerSecond = 4;
 
-interface SeenRevision {
+interface ObservedRevision {
   readonly server: string;
   readonly revision: number;
 }
 
-/** Passes revisions on to other nodes and fetches those that this node lacks. */
-export class ConfigurationSpreader {
+/** Announces revisions to other nodes and pulls the ones that this node lacks. */
+export class ConfigurationDistributor {
   private peers: readonly string[] = [];
-  private newestSeen: SeenRevision | undefined;
-  /** The newest revision that was pulled on an announcement. */
-  private pulledRevision = 0;
+  private newestObserved: ObservedRevision | undefined;
+  /** Highest revision that was pulled because of an announcement. */
+  private highestPulledRevision = 0;
   private nextPullAt = Number.POSITIVE_INFINITY;
-  private wholeAnswers = 0;
-  private wholeAnswersSince = 0;
+  private fullPushes = 0;
+  private fullPushWindowStart = 0;
 
   public constructor(
     private readonly history: ConfigurationHistory,
@@ -42,33 +45,34 @@
     return this.peers.length > 0;
   }
 
-  /** Another node has a revision; a lower one than this node's gets the difference at once. */
-  public seen(server: string, revision: number, now: ClockReading): void {
+  /** Handles the revision that another node reported; a higher one is pulled after a delay. */
+  public onRevisionObserved(server: string, revision: number, now: ClockReading): void {
     if (revision <= this.history.current.revision) return;
-    if (revision >= (this.newestSeen?.revision ?? 0)) this.newestSeen = { server, revision };
+    if (revision >= (this.newestObserved?.revision ?? 0))
+      this.newestObserved = { server, revision };
     this.nextPullAt = Math.min(this.nextPullAt, now.monotonic + pullDelayMilliseconds);
   }
 
-  /** Asks two random peers, for a node that knows from the store that it lags. */
+  /** Pulls from two random peers, after this node learned from the store that it lags behind. */
   public pullFromPeers(): void {
     for (const server of shuffled(this.random, this.peers).slice(0, 2)) {
       this.pull(server);
     }
   }
 
-  /** Answers a pull, or counts why it was left unanswered. */
-  public answerPull(from: string, haveRevision: number, now: ClockReading): void {
-    if (haveRevision >= this.history.current.revision) return;
-    const push = this.history.pushFor(haveRevision);
-    if (push.baseRevision === 0 && !this.mayAnswerWhole(now)) {
+  /** Answers a pull; a pull that exceeds the limit on whole configurations is only counted. */
+  public handlePull(from: string, knownRevision: number, now: ClockReading): void {
+    if (knownRevision >= this.history.current.revision) return;
+    const push = this.history.createPush(knownRevision);
+    if (push.baseRevision === 0 && !this.canSendFullPush(now)) {
       this.count('configuration_pulls_deferred');
       return;
     }
     this.send(from, push);
   }
 
-  /** Returns the configuration that a push brings into force, if any. */
-  public receive(
+  /** Returns the configuration that results from a push, if any. */
+  public handlePush(
     from: string,
     frame: ConfigurationPushFrame,
     now: ClockReading,
@@ -76,19 +80,19 @@
     if (frame.revision <= this.history.current.revision) return undefined;
     const configuration = this.history.applyPush(frame);
     if (configuration === undefined) {
-      this.newestSeen = { server: from, revision: frame.revision };
+      this.newestObserved = { server: from, revision: frame.revision };
       this.nextPullAt = now.monotonic;
     }
     return configuration;
   }
 
   /**
-   * Announces the revision that has just come into force. The content is sent only to those that pull
-   * it, because each node hears of a revision from several others and needs one copy.
+   * Announces the revision that has just come into force. The content is sent only to nodes that pull
+   * it, because each node receives several announcements of a revision and needs one copy.
    */
-  public spread(previousRevision: number): void {
+  public announce(previousRevision: number): void {
     const { revision } = this.history.current;
-    // A node that has just started tells nobody anything new.
+    // The first revision that a node loads after its start is not new to other nodes.
     if (previousRevision === 0 && revision > 1) return;
     for (const server of shuffled(this.random, this.peers).slice(0, announcementFanOut)) {
       this.send(server, { kind: 'configuration-announcement', revision });
@@ -96,11 +100,11 @@
   }
 
   /** Pulls an announced revision from the first node that announced it. */
-  public announced(server: string, revision: number, now: ClockReading): void {
-    const isPulled = revision <= this.pulledRevision;
+  public onAnnouncement(server: string, revision: number, now: ClockReading): void {
+    const isPulled = revision <= this.highestPulledRevision;
     if (isPulled || revision <= this.history.current.revision) return;
-    this.pulledRevision = revision;
-    this.newestSeen = { server, revision };
+    this.highestPulledRevision = revision;
+    this.newestObserved = { server, revision };
     this.nextPullAt = now.monotonic + pullTimeoutMilliseconds;
     this.pull(server);
   }
@@ -111,14 +115,14 @@
 
   public tick(now: ClockReading): void {
     if (now.monotonic < this.nextPullAt) return;
-    const { newestSeen } = this;
-    if (newestSeen === undefined || newestSeen.revision <= this.history.current.revision) {
+    const { newestObserved } = this;
+    if (newestObserved === undefined || newestObserved.revision <= this.history.current.revision) {
       this.nextPullAt = Number.POSITIVE_INFINITY;
       return;
     }
-    // The server that was seen may be gone or busy, so every other pull asks a random peer.
+    // The node that reported the revision may be gone or busy, so half of the pulls go to a random peer.
     const peer = pickRandom(this.random, this.peers);
-    this.pull(peer !== undefined && this.random.next() < 0.5 ? peer : newestSeen.server);
+    this.pull(peer !== undefined && this.random.next() < 0.5 ? peer : newestObserved.server);
     this.nextPullAt = now.monotonic + pullTimeoutMilliseconds;
   }
 
@@ -127,12 +131,12 @@
     this.send(server, { kind: 'configuration-pull', haveRevision });
   }
 
-  private mayAnswerWhole(now: ClockReading): boolean {
-    if (now.monotonic - this.wholeAnswersSince >= 1_000) {
-      this.wholeAnswersSince = now.monotonic;
-      this.wholeAnswers = 0;
+  private canSendFullPush(now: ClockReading): boolean {
+    if (now.monotonic - this.fullPushWindowStart >= 1_000) {
+      this.fullPushWindowStart = now.monotonic;
+      this.fullPushes = 0;
     }
-    this.wholeAnswers += 1;
-    return this.wholeAnswers <= wholeAnswersPerSecond;
+    this.fullPushes += 1;
+    return this.fullPushes <= maximumFullPushesPerSecond;
   }
 }
--- a/packages/core/src/configuration/configuration-history.ts
+++ b/packages/core/src/configuration/configuration-history.ts
@@ -11,26 +11,29 @@
   type ConfigurationChange,
 } from './configuration-change.js';
 
-interface Step {
+interface RevisionStep {
   readonly from: number;
   readonly to: number;
-  /** Turns the later configuration back into the earlier one. */
+  /** Change from the later configuration back to the earlier one. */
   readonly undo: ConfigurationChange;
 }
 
-/** Steps kept to rebase proposals and to answer nodes that lag; at 0.53 changes/s they cover 2 minutes. */
+/**
+ * Steps retained to rebase proposals and to send differences to nodes that lag behind; at 0.53 changes/s
+ * they cover 2 minutes.
+ */
 const maximumSteps = 64;
 
-/** The configuration in force and the steps that led to it. */
+/** The configuration in force and the most recent steps that led to it. */
 export class ConfigurationHistory {
   private configuration: Configuration = emptyConfiguration;
-  private readonly steps: Step[] = [];
+  private readonly steps: RevisionStep[] = [];
 
   public get current(): Configuration {
     return this.configuration;
   }
 
-  /** Puts a higher revision in force; returns false for any other revision. */
+  /** Puts a higher revision in force; ignores any other revision and returns false. */
   public advance(next: Configuration): boolean {
     const { current } = this;
     if (next.revision <= current.revision) return false;
@@ -41,8 +44,11 @@
     return true;
   }
 
-  /** The configuration that was in force here at exactly this revision, if that is still known. */
-  public at(revision: number): Configuration | undefined {
+  /**
+   * The configuration that was in force on this node at exactly this revision, if it is still
+   * known.
+   */
+  public configurationAt(revision: number): Configuration | undefined {
     let configuration = this.configuration;
     for (let index = this.steps.length - 1; index >= 0; index -= 1) {
       const step = this.steps[index];
@@ -52,12 +58,12 @@
     return configuration.revision === revision ? configuration : undefined;
   }
 
-  /** A push for a node that has the given revision: the changed parts, or everything. */
-  public pushFor(haveRevision: number): ConfigurationPushFrame {
-    const needed = this.steps.filter((step) => step.to > haveRevision);
+  /** Creates a push for a node that has the given revision: the changed parts, or everything. */
+  public createPush(knownRevision: number): ConfigurationPushFrame {
+    const needed = this.steps.filter((step) => step.to > knownRevision);
     const [first] = needed;
-    if (first === undefined || first.from > haveRevision || first.from === 0) {
-      return this.push(0, this.configuration.services, [], true);
+    if (first === undefined || first.from > knownRevision || first.from === 0) {
+      return this.buildPushFrame(0, this.configuration.services, [], true);
     }
     const services: Record<string, ServiceConfiguration> = {};
     const removed = new Set<string>();
@@ -67,12 +73,13 @@
       else services[name] = service;
     }
     const drainsChanged = needed.some((step) => changesDrains(step.undo));
-    return this.push(first.from, services, [...removed], drainsChanged);
+    return this.buildPushFrame(first.from, services, [...removed], drainsChanged);
   }
 
   /**
-   * The configuration that a push leads to, or undefined when its base is not reached yet.
-   * A push covers every change after its base, so it may be applied to any revision from there on.
+   * Returns the configuration that results from a push, or undefined if this node hasn't reached the
+   * base of the push. A push covers every change after its base, so it can be applied to any revision
+   * from the base on.
    */
   public applyPush(frame: ConfigurationPushFrame): Configuration | undefined {
     const { current } = this;
@@ -91,7 +98,7 @@
     };
   }
 
-  private push(
+  private buildPushFrame(
     baseRevision: number,
     services: Configuration['services'],
     removedServices: readonly string[],
--- a/packages/core/src/configuration/configuration-limits.ts
+++ b/packages/core/src/configuration/configuration-limits.ts
@@ -1,4 +1,4 @@
-/** Limits on what operators may declare; they keep every stored value and every frame within bounds. */
+/** Limits on configurations, which bound the size of stored values and of frames. */
 export const configurationLimits = {
   /** The design has to serve 1,300 services. */
   services: 2_000,
@@ -6,9 +6,11 @@
   tenants: 256,
   drainedServers: 2_000,
   drainedAvailabilityZones: 256,
-  /** Characters of the JSON text of one service; 20 services share a page of the store. */
+  /**
+   * Characters of the JSON text of one service; about 20 services share a page record in the store.
+   */
   serviceCharacters: 65_536,
-  /** Characters of the JSON text of everything; a frame holds 1.25 MiB. */
+  /** Characters of the JSON text of the whole configuration; a frame holds 1.25 MiB. */
   totalCharacters: 1_000_000,
 } as const;
 
--- a/packages/core/src/configuration/configuration-keeper.ts
+++ b/packages/core/src/configuration/configuration-manager.ts
@@ -9,47 +9,50 @@
 import { Timers } from '../shared/timers.js';
 import type {
   ConfigurationCommand,
-  ConfigurationKeeperContract,
+  ConfigurationManagerContract,
 } from './configuration-contract.js';
 import { ConfigurationHistory } from './configuration-history.js';
 import { changeIdPattern } from './configuration-limits.js';
-import { ConfigurationSpreader } from './configuration-spreader.js';
+import { ConfigurationDistributor } from './configuration-distributor.js';
 import { describeConfigurationFault, validateConfiguration } from './configuration-validation.js';
-import { defaultCollectionIntervalMilliseconds, RecordCollector } from './record-collector.js';
+import {
+  defaultGarbageCollectionIntervalMilliseconds,
+  RecordGarbageCollector,
+} from './record-garbage-collector.js';
 import { ProposalRun } from './proposal-run.js';
 import { RootFollower } from './root-follower.js';
 import { RootLoader } from './root-loader.js';
 
-/** How a keeper is set up. */
-export interface ConfigurationKeeperOptions {
+/** Options of a configuration manager. */
+export interface ConfigurationManagerOptions {
   readonly random: RandomSource;
-  /** Name of this node, under which it deletes replaced records. */
+  /** Name of this node; it is written to the store when this node collects garbage. */
   readonly server: string;
-  /** Time from the listing of an unreferenced record to its deletion; default 300,000. */
+  /** Time from finding an unreferenced record to its deletion; 300,000 by default. */
   readonly collectionIntervalMilliseconds?: number | undefined;
-  /** Time after which an operator is told what is known of a change; default 10,000. */
+  /** Time after which a proposal is concluded with what is known by then; 10,000 by default. */
   readonly proposalTimeoutMilliseconds?: number | undefined;
 }
 
 const defaultProposalTimeoutMilliseconds = 10_000;
-/** Changes that one node works on at a time; operators send far fewer. */
+/** Proposals that one node processes at a time; operators send far fewer. */
 const maximumProposals = 16;
 
-/** Keeps the configuration in force, follows the store's root and makes operators' changes. */
-export class ConfigurationKeeper implements ConfigurationKeeperContract {
+/** Maintains the configuration in force, follows the root record and commits operators' changes. */
+export class ConfigurationManager implements ConfigurationManagerContract {
   private commands: ConfigurationCommand[] = [];
   private readonly timers = new Timers();
   private readonly history = new ConfigurationHistory();
   private readonly requests = new StoreRequests((command) => this.commands.push(command));
-  private readonly spreader: ConfigurationSpreader;
+  private readonly distributor: ConfigurationDistributor;
   private readonly follower: RootFollower;
-  private readonly collector: RecordCollector;
-  private proposals = 0;
+  private readonly garbageCollector: RecordGarbageCollector;
+  private runningProposals = 0;
 
-  public constructor(private readonly options: ConfigurationKeeperOptions) {
+  public constructor(private readonly options: ConfigurationManagerOptions) {
     const { random } = options;
     const { timers, requests, history } = this;
-    this.spreader = new ConfigurationSpreader(
+    this.distributor = new ConfigurationDistributor(
       history,
       random,
       (to, frame) => this.commands.push({ kind: 'send', to, frame }),
@@ -65,36 +68,44 @@
         this.putInForce(configuration);
       },
       (key, now) => {
-        this.report('configuration-record-missing', { key });
-        this.follower.reread(now);
+        this.logWarning('configuration-record-missing', { key });
+        this.follower.scheduleReread(now);
       },
     );
-    const report: RootFollower['parts']['report'] = (event, fields) => {
-      this.report(event, fields);
+    const logWarning: RootFollower['dependencies']['logWarning'] = (event, fields) => {
+      this.logWarning(event, fields);
     };
-    const parts = { requests, timers, history, loader, spreader: this.spreader, random, report };
-    this.follower = new RootFollower(parts);
-    this.collector = this.createCollector();
+    const dependencies = {
+      requests,
+      timers,
+      history,
+      loader,
+      distributor: this.distributor,
+      random,
+      logWarning,
+    };
+    this.follower = new RootFollower(dependencies);
+    this.garbageCollector = this.createGarbageCollector();
   }
 
   public get inForce(): Configuration {
     return this.history.current;
   }
 
-  public frame(
+  public handleFrame(
     from: string,
     frame: ConfigurationFrame,
     now: ClockReading,
   ): readonly ConfigurationCommand[] {
     switch (frame.kind) {
       case 'configuration-announcement':
-        this.spreader.announced(from, frame.revision, now);
+        this.distributor.onAnnouncement(from, frame.revision, now);
         break;
       case 'configuration-pull':
-        this.spreader.answerPull(from, frame.haveRevision, now);
+        this.distributor.handlePull(from, frame.haveRevision, now);
         break;
       case 'configuration-push': {
-        const configuration = this.spreader.receive(from, frame, now);
+        const configuration = this.distributor.handlePush(from, frame, now);
         if (configuration !== undefined) this.putInForce(configuration);
         break;
       }
@@ -107,7 +118,7 @@
     result: StoreResult,
     now: ClockReading,
   ): readonly ConfigurationCommand[] {
-    this.requests.deliver(operationId, result, now);
+    this.requests.handleResult(operationId, result, now);
     return this.takeCommands();
   }
 
@@ -117,13 +128,13 @@
   ): readonly ConfigurationCommand[] {
     const reason = this.reasonToReject(message);
     if (reason !== undefined) {
-      // What an earlier run under the same identifier wrote is not looked up here.
+      // An earlier run with the same identifier may have committed the change, which isn't checked here.
       const result: ProposalResult =
         message.isResent === true ? { kind: 'unresolved' } : { kind: 'rejected', reason };
       this.conclude(message.proposalId, result);
       return this.takeCommands();
     }
-    this.proposals += 1;
+    this.runningProposals += 1;
     const { requests, timers, history, follower } = this;
     new ProposalRun(message, {
       requests,
@@ -133,60 +144,60 @@
       random: this.options.random,
       timeoutMilliseconds:
         this.options.proposalTimeoutMilliseconds ?? defaultProposalTimeoutMilliseconds,
-      committed: (configuration) => {
+      onCommitted: (configuration) => {
         this.putInForce(configuration);
       },
-      concluded: (result) => {
-        this.proposals -= 1;
+      onConcluded: (result) => {
+        this.runningProposals -= 1;
         this.conclude(message.proposalId, result);
       },
     }).start(now);
     return this.takeCommands();
   }
 
-  public revisionSeen(
+  public onRevisionObserved(
     server: string,
     revision: number,
     now: ClockReading,
   ): readonly ConfigurationCommand[] {
-    this.spreader.seen(server, revision, now);
+    this.distributor.onRevisionObserved(server, revision, now);
     return this.takeCommands();
   }
 
   public setPeers(servers: readonly string[]): void {
-    this.spreader.setPeers(servers);
+    this.distributor.setPeers(servers);
   }
 
   public setWatching(watching: boolean, now: ClockReading): readonly ConfigurationCommand[] {
     this.follower.setWatching(watching, now);
-    this.collector.setActive(watching, now);
+    this.garbageCollector.setActive(watching, now);
     return this.takeCommands();
   }
 
   public tick(now: ClockReading): readonly ConfigurationCommand[] {
     this.requests.tick(now);
     this.timers.tick(now);
-    this.spreader.tick(now);
+    this.distributor.tick(now);
     return this.takeCommands();
   }
 
   public get nextTickAt(): number {
-    const { requests, spreader, timers } = this;
-    return Math.min(requests.nextDeadline, timers.nextAt, spreader.nextTickAt);
+    const { requests, distributor, timers } = this;
+    return Math.min(requests.nextDeadline, timers.nextDueAt, distributor.nextTickAt);
   }
 
-  private createCollector(): RecordCollector {
-    return new RecordCollector({
+  private createGarbageCollector(): RecordGarbageCollector {
+    return new RecordGarbageCollector({
       requests: this.requests,
       timers: this.timers,
       server: this.options.server,
       intervalMilliseconds:
-        this.options.collectionIntervalMilliseconds ?? defaultCollectionIntervalMilliseconds,
-      deleted: (records) => {
+        this.options.collectionIntervalMilliseconds ?? defaultGarbageCollectionIntervalMilliseconds,
+      onDeleted: (records) => {
         this.count('configuration_records_deleted', {}, records);
       },
-      malformed: (key) => {
-        this.report('configuration-record-malformed', { key });
+      onMalformed: (key) => {
+        this.logWarning('configuration-record-malformed', { key });
       },
     });
   }
@@ -195,8 +206,8 @@
     if (!changeIdPattern.test(message.changeId)) {
       return 'changeId: expected 1 to 36 letters, digits, underscores or hyphens';
     }
-    if (this.proposals >= maximumProposals) {
-      return `this node already works on ${maximumProposals} changes; try again later`;
+    if (this.runningProposals >= maximumProposals) {
+      return `this node is already processing ${maximumProposals} changes; try again later`;
     }
     const faults = validateConfiguration(message.configuration);
     return faults.length === 0 ? undefined : faults.map(describeConfigurationFault).join('; ');
@@ -206,7 +217,7 @@
     const previousRevision = this.history.current.revision;
     if (!this.history.advance(configuration)) return;
     this.commands.push({ kind: 'configuration-in-force', configuration });
-    this.spreader.spread(previousRevision);
+    this.distributor.announce(previousRevision);
   }
 
   private conclude(proposalId: number, result: ProposalResult): void {
@@ -218,7 +229,7 @@
     this.commands.push({ kind: 'count', counter, labels, by });
   }
 
-  private report(event: string, fields: Readonly<Record<string, string | number>>): void {
+  private logWarning(event: string, fields: Readonly<Record<string, string | number>>): void {
     this.commands.push({ kind: 'log', level: 'warn', event, fields });
   }
 
--- a/packages/core/src/configuration/configuration-validation.ts
+++ b/packages/core/src/configuration/configuration-validation.ts
@@ -6,15 +6,15 @@
   checkNumber,
   checkPattern,
   checkUnique,
-  isRecord,
+  isPlainObject,
   type ConfigurationFault,
 } from './field-checks.js';
 
 const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
 const nameExpectation = '1 to 63 lower-case letters, digits or hyphens, not starting with a hyphen';
 // eslint-disable-next-line no-control-regex -- control characters must not reach logs and headers
-const labelPattern = /^[^\u0000-\u001f\u007f]{1,128}$/;
-const labelExpectation = '1 to 128 characters without control characters';
+const displayNamePattern = /^[^\u0000-\u001f\u007f]{1,128}$/;
+const displayNameExpectation = '1 to 128 characters without control characters';
 
 /** Inclusive ranges of the numeric fields of a service; `integer` excludes fractions. */
 const numericFields = {
@@ -26,17 +26,17 @@
   retryBudgetRatio: { minimum: 0, maximum: 1, integer: false },
 } as const;
 
-/** Ranges of the fields that a service may leave out. */
+/** Inclusive ranges of the optional numeric fields of a service. */
 const optionalFields = {
   maximumBodyBytes: { minimum: 0, maximum: 1_073_741_824, integer: true },
   maximumTenantInFlight: { minimum: 1, maximum: 10_000, integer: true },
-  // Waiting requests hold their bodies in the server's memory.
+  // Queued requests keep their bodies in the server's memory.
   queueLength: { minimum: 0, maximum: 1_000, integer: true },
 } as const;
 
-/** Checks a whole configuration and returns every fault; an empty list means that it is valid. */
+/** Validates a whole configuration and returns every fault; an empty list means that it is valid. */
 export function validateConfiguration(configuration: unknown): readonly ConfigurationFault[] {
-  if (!isRecord(configuration) || !isRecord(configuration.services)) {
+  if (!isPlainObject(configuration) || !isPlainObject(configuration.services)) {
     return [{ field: 'services', expected: 'an object of services', found: 'none' }];
   }
   const faults: ConfigurationFault[] = [];
@@ -50,8 +50,8 @@
   }
   const { drainedServers, drainedAvailabilityZones } = configurationLimits;
   faults.push(
-    ...validateLabels(configuration.drainedServers, 'drainedServers', drainedServers),
-    ...validateLabels(
+    ...validateNames(configuration.drainedServers, 'drainedServers', drainedServers),
+    ...validateNames(
       configuration.drainedAvailabilityZones,
       'drainedAvailabilityZones',
       drainedAvailabilityZones,
@@ -61,13 +61,13 @@
   return faults;
 }
 
-/** Checks one service; `field` prefixes the names of faulty fields, `name` is the expected name. */
+/** Validates a service; `field` prefixes the names of faulty fields, `name` is the expected name. */
 export function validateService(
   service: unknown,
   field: string,
   name: string,
 ): readonly ConfigurationFault[] {
-  if (!isRecord(service)) return [{ field, expected: 'a service', found: typeof service }];
+  if (!isPlainObject(service)) return [{ field, expected: 'a service', found: typeof service }];
   const faults = [
     ...checkPattern(service.name, `${field}.name`, namePattern, nameExpectation),
     ...checkBoolean(service.hedging, `${field}.hedging`),
@@ -85,21 +85,32 @@
     if (service[key] === undefined) continue;
     faults.push(...checkNumber(service[key], `${field}.${key}`, range));
   }
-  const { defaultDeadlineMilliseconds: usual, maximumDeadlineMilliseconds: longest } = service;
-  if (typeof usual === 'number' && typeof longest === 'number' && usual > longest) {
-    const expected = `at most maximumDeadlineMilliseconds (${longest})`;
-    faults.push({ field: `${field}.defaultDeadlineMilliseconds`, expected, found: `${usual}` });
+  const {
+    defaultDeadlineMilliseconds: defaultDeadline,
+    maximumDeadlineMilliseconds: maximumDeadline,
+  } = service;
+  if (
+    typeof defaultDeadline === 'number' &&
+    typeof maximumDeadline === 'number' &&
+    defaultDeadline > maximumDeadline
+  ) {
+    const expected = `at most maximumDeadlineMilliseconds (${maximumDeadline})`;
+    faults.push({
+      field: `${field}.defaultDeadlineMilliseconds`,
+      expected,
+      found: `${defaultDeadline}`,
+    });
   }
   return faults;
 }
 
-/** Returns the service when it is valid. */
+/** Returns the service if it is valid, otherwise undefined. */
 export function parseService(service: unknown, name: string): ServiceConfiguration | undefined {
   const faults = validateService(service, name, name);
   return faults.length === 0 ? (service as ServiceConfiguration) : undefined;
 }
 
-/** One line for an operator: the field, what is accepted and what was found. */
+/** Describes a fault in one line for an operator: the field, what is accepted and what was found. */
 export function describeConfigurationFault(fault: ConfigurationFault): string {
   return `${fault.field}: expected ${fault.expected}, found ${fault.found}`;
 }
@@ -132,13 +143,13 @@
 function validateTenants(tenants: unknown, field: string): readonly ConfigurationFault[] {
   const weights = { minimum: 0.01, maximum: 1_000, integer: false };
   const faults = checkList(tenants, field, configurationLimits.tenants, (tenant, at) => [
-    ...checkPattern(tenant.tenant, `${at}.tenant`, labelPattern, labelExpectation),
+    ...checkPattern(tenant.tenant, `${at}.tenant`, displayNamePattern, displayNameExpectation),
     ...checkNumber(tenant.weight, `${at}.weight`, weights),
   ]);
   return [...faults, ...checkUnique(tenants, field, 'tenant')];
 }
 
-function validateLabels(
+function validateNames(
   labels: unknown,
   field: string,
   maximum: number,
@@ -148,7 +159,7 @@
     return [{ field, expected: `a list of at most ${maximum} names`, found }];
   }
   const faults = labels.flatMap((label: unknown, index) =>
-    checkPattern(label, `${field}[${index}]`, labelPattern, labelExpectation),
+    checkPattern(label, `${field}[${index}]`, displayNamePattern, displayNameExpectation),
   );
   if (new Set(labels).size < labels.length) {
     faults.push({ field, expected: 'each name once', found: 'a repeated name' });
--- a/packages/core/src/configuration/configuration-writer.ts
+++ b/packages/core/src/configuration/configuration-writer.ts
@@ -7,32 +7,32 @@
 import type { Timers } from '../shared/timers.js';
 import { changesDrains, type ConfigurationChange } from './configuration-change.js';
 import {
-  collectionKey,
+  garbageCollectionKey,
   decodePage,
-  derivedId,
+  derivedRecordId,
   drainsKey,
   encodeDrains,
   encodePage,
   encodeRoot,
-  keptChangeIds,
+  maximumRetainedChangeIds,
   pageKey,
-  pageOf,
+  pageIndexOf,
   serviceKey,
   type PageRecord,
   type RootRecord,
 } from './store-layout.js';
 
-/** A root record that is ready to be written. */
+/** A root record that is ready to be written, with the versions that its commit requires. */
 export interface PreparedRoot {
   /** Version of the root record that it replaces. */
   readonly version: number;
   readonly value: string;
   readonly next: Configuration;
-  /** Version of the collection record before the first record of the change was written. */
-  readonly collectionVersion: number;
+  /** Version of the garbage-collection record before the first record of the change was written. */
+  readonly garbageCollectionVersion: number;
 }
 
-/** A change on top of a root. */
+/** A change to be committed on top of a root. */
 export interface PlannedChange {
   readonly root: RootRecord;
   readonly version: number;
@@ -40,16 +40,16 @@
   readonly change: ConfigurationChange;
 }
 
-/** What the writer works with. */
-export interface ConfigurationWriterParts {
+/** Dependencies and callbacks of a writer. */
+export interface ConfigurationWriterDependencies {
   readonly requests: StoreRequests;
   readonly timers: Timers;
   readonly random: RandomSource;
   readonly isStopped: () => boolean;
-  /** The change can't be written; nothing took effect. */
-  readonly refused: (reason: string) => void;
-  /** The root refers to a page that is gone, so a newer root must exist. */
-  readonly stale: (now: ClockReading) => void;
+  /** Called if the change can't be written; nothing has taken effect. */
+  readonly onRejected: (reason: string) => void;
+  /** Called if the root refers to a page that was deleted, so that a newer root must exist. */
+  readonly onStaleRoot: (now: ClockReading) => void;
 }
 
 interface NewRecord {
@@ -57,47 +57,53 @@
   readonly value: string;
 }
 
-/** Writes the records that a new root will refer to. None of them takes effect before the root does. */
+/**
+ * Writes the records that a new root will refer to. They take effect only when the root is written.
+ */
 export class ConfigurationWriter {
   private readonly backOff: BackOff;
 
   public constructor(
     private readonly changeId: string,
-    private readonly parts: ConfigurationWriterParts,
+    private readonly dependencies: ConfigurationWriterDependencies,
   ) {
-    this.backOff = new BackOff(parts.random, 100, 1_000);
+    this.backOff = new BackOff(dependencies.random, 100, 1_000);
   }
 
   /**
-   * Writes values, then pages, then hands over the root record. The collection record is read first:
-   * if its version holds until the commit, none of the records found or written here was deleted.
+   * Writes services, then pages, then passes the root record to `done`. The garbage-collection record is
+   * read first: if its version is unchanged at the commit, no record found or written here was deleted.
    */
   public prepare(
     plan: PlannedChange,
     now: ClockReading,
     done: (prepared: PreparedRoot, now: ClockReading) => void,
   ): void {
-    this.readCollectionVersion(now, (collectionVersion, later) => {
+    this.readGarbageCollectionVersion(now, (collectionVersion, later) => {
       this.writeRecords(plan, later, (value, afterRecords) => {
         const { version, next } = plan;
-        done({ version, value, next, collectionVersion }, afterRecords);
+        done({ version, value, next, garbageCollectionVersion: collectionVersion }, afterRecords);
       });
     });
   }
 
-  private readCollectionVersion(
+  private readGarbageCollectionVersion(
     now: ClockReading,
     use: (version: number, now: ClockReading) => void,
   ): void {
-    this.parts.requests.start({ kind: 'read', key: collectionKey }, now, (result, later) => {
-      if (this.parts.isStopped()) return;
-      if (result.kind === 'found') use(result.entry.version, later);
-      else if (result.kind === 'missing') use(0, later);
-      else
-        this.retry(later, (time) => {
-          this.readCollectionVersion(time, use);
-        });
-    });
+    this.dependencies.requests.start(
+      { kind: 'read', key: garbageCollectionKey },
+      now,
+      (result, later) => {
+        if (this.dependencies.isStopped()) return;
+        if (result.kind === 'found') use(result.entry.version, later);
+        else if (result.kind === 'missing') use(0, later);
+        else
+          this.retryAfterBackOff(later, (time) => {
+            this.readGarbageCollectionVersion(time, use);
+          });
+      },
+    );
   }
 
   private writeRecords(
@@ -124,13 +130,13 @@
     plan: PlannedChange,
     pages: ReadonlyMap<number, PageRecord>,
   ): { readonly root: RootRecord; readonly records: readonly NewRecord[] } {
-    const id = derivedId(this.changeId, plan.root.revision);
+    const id = derivedRecordId(this.changeId, plan.root.revision);
     const records: NewRecord[] = [];
     const pageIds = [...plan.root.pages];
     for (const [index, page] of pages) {
       const changed = new Map(page);
       for (const [name, service] of plan.change.services) {
-        if (pageOf(name) !== index) continue;
+        if (pageIndexOf(name) !== index) continue;
         if (service === undefined) changed.delete(name);
         else changed.set(name, this.changeId);
       }
@@ -142,7 +148,7 @@
       drains = id;
       records.push({ key: drainsKey(id), value: encodeDrains(plan.next) });
     }
-    const changeIds = [...plan.root.changeIds, this.changeId].slice(-keptChangeIds);
+    const changeIds = [...plan.root.changeIds, this.changeId].slice(-maximumRetainedChangeIds);
     return { root: { revision: plan.next.revision, pages: pageIds, drains, changeIds }, records };
   }
 
@@ -152,7 +158,7 @@
     done: (pages: ReadonlyMap<number, PageRecord>, now: ClockReading) => void,
   ): void {
     const pages = new Map<number, PageRecord>();
-    const numbers = new Set([...plan.change.services.keys()].map(pageOf));
+    const numbers = new Set([...plan.change.services.keys()].map(pageIndexOf));
     let remaining = numbers.size;
     if (remaining === 0) done(pages, now);
     for (const index of numbers) {
@@ -172,17 +178,17 @@
     now: ClockReading,
     use: (page: PageRecord, now: ClockReading) => void,
   ): void {
-    this.parts.requests.start({ kind: 'read', key }, now, (result, later) => {
-      if (this.parts.isStopped()) return;
+    this.dependencies.requests.start({ kind: 'read', key }, now, (result, later) => {
+      if (this.dependencies.isStopped()) return;
       const page = result.kind === 'found' ? decodePage(result.entry.value) : undefined;
       if (page !== undefined) {
         use(page, later);
       } else if (result.kind === 'found') {
-        this.parts.refused(`the record ${key} in the store is malformed`);
+        this.dependencies.onRejected(`the record ${key} in the store is malformed`);
       } else if (result.kind === 'missing') {
-        this.parts.stale(later);
+        this.dependencies.onStaleRoot(later);
       } else {
-        this.retry(later, (time) => {
+        this.retryAfterBackOff(later, (time) => {
           this.readPage(key, time, use);
         });
       }
@@ -204,30 +210,34 @@
     }
   }
 
-  /** Creates a record; a lost answer is resolved by reading. */
+  /** Creates a record; if the result of the write is unknown, the record is read. */
   private write(record: NewRecord, now: ClockReading, done: (now: ClockReading) => void): void {
     const operation = { kind: 'compare-and-swap', expectedVersion: 0, ...record } as const;
-    this.parts.requests.start(operation, now, (result, later) => {
-      if (this.parts.isStopped()) return;
+    this.dependencies.requests.start(operation, now, (result, later) => {
+      if (this.dependencies.isStopped()) return;
       if (result.kind === 'written') done(later);
       else if (result.kind === 'conflict') this.checkExisting(record, result.entry, later, done);
-      else this.resolve(record, later, done);
+      else this.resolveUnknownWrite(record, later, done);
     });
   }
 
-  private resolve(record: NewRecord, now: ClockReading, done: (now: ClockReading) => void): void {
-    this.parts.requests.start({ kind: 'read', key: record.key }, now, (result, later) => {
-      if (this.parts.isStopped()) return;
+  private resolveUnknownWrite(
+    record: NewRecord,
+    now: ClockReading,
+    done: (now: ClockReading) => void,
+  ): void {
+    this.dependencies.requests.start({ kind: 'read', key: record.key }, now, (result, later) => {
+      if (this.dependencies.isStopped()) return;
       if (result.kind === 'found') this.checkExisting(record, result.entry, later, done);
       else if (result.kind === 'missing') this.write(record, later, done);
       else
-        this.retry(later, (time) => {
-          this.resolve(record, time, done);
+        this.retryAfterBackOff(later, (time) => {
+          this.resolveUnknownWrite(record, time, done);
         });
     });
   }
 
-  /** A record that exists with the same text was written by an earlier try. */
+  /** A record that exists with the same text was written by an earlier attempt. */
   private checkExisting(
     record: NewRecord,
     entry: StoreEntry | undefined,
@@ -235,12 +245,13 @@
     done: (now: ClockReading) => void,
   ): void {
     if (entry?.value === record.value) done(now);
-    else this.parts.refused(`change identifier ${this.changeId} belongs to another change`);
+    else
+      this.dependencies.onRejected(`change identifier ${this.changeId} belongs to another change`);
   }
 
-  private retry(now: ClockReading, action: (now: ClockReading) => void): void {
-    this.parts.timers.after(now, this.backOff.next(), (later) => {
-      if (!this.parts.isStopped()) action(later);
+  private retryAfterBackOff(now: ClockReading, action: (now: ClockReading) => void): void {
+    this.dependencies.timers.schedule(now, this.backOff.nextDelay(), (later) => {
+      if (!this.dependencies.isStopped()) action(later);
     });
   }
 }
--- a/packages/core/src/configuration/field-checks.ts
+++ b/packages/core/src/configuration/field-checks.ts
@@ -1,4 +1,4 @@
-/** A field of a proposed configuration that is not acceptable. */
+/** An invalid field of a proposed configuration. */
 export interface ConfigurationFault {
   /** Path of the field, for example `services.provenance.rampMilliseconds`. */
   readonly field: string;
@@ -14,10 +14,10 @@
   readonly integer: boolean;
 }
 
-type Fields = Readonly<Record<string, unknown>>;
+type UnknownFields = Readonly<Record<string, unknown>>;
 
-/** Whether the value is an object and no list. */
-export function isRecord(value: unknown): value is Fields {
+/** Whether the value is an object that is not an array. */
+export function isPlainObject(value: unknown): value is UnknownFields {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
@@ -35,10 +35,10 @@
   if (isInRange) return [];
   const noun = range.integer ? 'an integer' : 'a number';
   const expected = `${noun} from ${range.minimum} to ${range.maximum}`;
-  return [{ field, expected, found: describe(value) }];
+  return [{ field, expected, found: describeValue(value) }];
 }
 
-/** Checks that the value is text of a given form. */
+/** Checks that the value is a string that matches a pattern. */
 export function checkPattern(
   value: unknown,
   field: string,
@@ -46,13 +46,13 @@
   expected: string,
 ): ConfigurationFault[] {
   if (typeof value === 'string' && pattern.test(value)) return [];
-  return [{ field, expected, found: describe(value) }];
+  return [{ field, expected, found: describeValue(value) }];
 }
 
 /** Checks that the value is true or false. */
 export function checkBoolean(value: unknown, field: string): ConfigurationFault[] {
   if (typeof value === 'boolean') return [];
-  return [{ field, expected: 'true or false', found: describe(value) }];
+  return [{ field, expected: 'true or false', found: describeValue(value) }];
 }
 
 /** Checks that the value is a list of objects and checks each of them. */
@@ -60,32 +60,33 @@
   value: unknown,
   field: string,
   maximum: number,
-  check: (element: Fields, field: string) => readonly ConfigurationFault[],
+  check: (element: UnknownFields, field: string) => readonly ConfigurationFault[],
 ): ConfigurationFault[] {
   if (!Array.isArray(value) || value.length > maximum) {
-    const found = Array.isArray(value) ? `${value.length} entries` : describe(value);
+    const found = Array.isArray(value) ? `${value.length} entries` : describeValue(value);
     return [{ field, expected: `a list of at most ${maximum} entries`, found }];
   }
   return value.flatMap((element: unknown, index) => {
     const at = `${field}[${index}]`;
-    if (isRecord(element)) return check(element, at);
-    return [{ field: at, expected: 'an object', found: describe(element) }];
+    if (isPlainObject(element)) return check(element, at);
+    return [{ field: at, expected: 'an object', found: describeValue(element) }];
   });
 }
 
-/** Checks that no two objects of a list share the value of a field. */
+/** Checks that no two objects of a list have the same value of a field. */
 export function checkUnique(value: unknown, field: string, key: string): ConfigurationFault[] {
   if (!Array.isArray(value)) return [];
   const seen = new Set<unknown>();
   for (const element of value as unknown[]) {
-    const name = isRecord(element) ? element[key] : undefined;
-    if (seen.has(name)) return [{ field, expected: `each ${key} once`, found: describe(name) }];
+    const name = isPlainObject(element) ? element[key] : undefined;
+    if (seen.has(name))
+      return [{ field, expected: `each ${key} once`, found: describeValue(name) }];
     seen.add(name);
   }
   return [];
 }
 
-function describe(value: unknown): string {
+function describeValue(value: unknown): string {
   if (value === undefined) return 'nothing';
   const text = JSON.stringify(value);
   return text.length > 80 ? `${text.slice(0, 77)}...` : text;
--- a/packages/core/src/configuration/proposal-run.ts
+++ b/packages/core/src/configuration/proposal-run.ts
@@ -19,8 +19,8 @@
 import { describeConfigurationFault, validateConfiguration } from './configuration-validation.js';
 import type { RootFollower } from './root-follower.js';
 import {
-  collectionKey,
-  coversRevision,
+  garbageCollectionKey,
+  retainsChangeIdOfRevision,
   decodeRoot,
   emptyRoot,
   revisionOfChange,
@@ -28,43 +28,46 @@
   type RootRecord,
 } from './store-layout.js';
 
-/** How often a proposal checks whether this node has caught up with the root. */
-const catchUpCheckMilliseconds = 50;
+/** Interval of checking whether this node has caught up with the root. */
+const catchUpPollMilliseconds = 50;
 
-/** What a proposal works with. */
-export interface ProposalParts {
+/** Dependencies and callbacks of a proposal. */
+export interface ProposalDependencies {
   readonly requests: StoreRequests;
   readonly timers: Timers;
   readonly history: ConfigurationHistory;
   readonly follower: RootFollower;
   readonly random: RandomSource;
   readonly timeoutMilliseconds: number;
-  /** A change of this node was committed. */
-  readonly committed: (configuration: Configuration, now: ClockReading) => void;
-  readonly concluded: (result: ProposalResult) => void;
+  /** Called after this node committed the change. */
+  readonly onCommitted: (configuration: Configuration, now: ClockReading) => void;
+  readonly onConcluded: (result: ProposalResult) => void;
 }
 
-/** Brings one operator's change into the store, or finds out that it did not get there. */
+/** Commits one operator's change to the store, or determines that it was not committed. */
 export class ProposalRun {
   private isDone = false;
-  /** The newest root write that was sent; it may take effect as long as its version is current. */
-  private attempt: PreparedRoot | undefined;
+  /**
+   * Last root write that was sent; it may still take effect while the root has the expected
+   * version.
+   */
+  private pendingRootWrite: PreparedRoot | undefined;
   private readonly backOff: BackOff;
   private readonly writer: ConfigurationWriter;
 
   public constructor(
     private readonly message: ProposeConfigurationMessage,
-    private readonly parts: ProposalParts,
+    private readonly dependencies: ProposalDependencies,
   ) {
-    this.backOff = new BackOff(parts.random, 100, 1_000);
+    this.backOff = new BackOff(dependencies.random, 100, 1_000);
     this.writer = new ConfigurationWriter(message.changeId, {
-      ...parts,
+      ...dependencies,
       isStopped: () => this.isDone,
-      refused: (reason) => {
+      onRejected: (reason) => {
         this.finish({ kind: 'rejected', reason });
       },
-      stale: (now) => {
-        this.later(now, (time) => {
+      onStaleRoot: (now) => {
+        this.retryAfterBackOff(now, (time) => {
           this.readRoot(time);
         });
       },
@@ -72,31 +75,31 @@
   }
 
   public start(now: ClockReading): void {
-    this.parts.timers.after(now, this.parts.timeoutMilliseconds, () => {
-      this.giveUp();
+    this.dependencies.timers.schedule(now, this.dependencies.timeoutMilliseconds, () => {
+      this.onTimeout();
     });
     this.readRoot(now);
   }
 
   private readRoot(now: ClockReading): void {
-    this.parts.requests.start({ kind: 'read', key: rootKey }, now, (result, later) => {
+    this.dependencies.requests.start({ kind: 'read', key: rootKey }, now, (result, later) => {
       if (this.isDone) return;
-      if (result.kind === 'found') this.considerRoot(result.entry, later);
-      else if (result.kind === 'missing') this.considerRoot(undefined, later);
+      if (result.kind === 'found') this.handleRoot(result.entry, later);
+      else if (result.kind === 'missing') this.handleRoot(undefined, later);
       else
-        this.later(later, (time) => {
+        this.retryAfterBackOff(later, (time) => {
           this.readRoot(time);
         });
     });
   }
 
-  private considerRoot(entry: StoreEntry | undefined, now: ClockReading): void {
+  private handleRoot(entry: StoreEntry | undefined, now: ClockReading): void {
     const root = entry === undefined ? emptyRoot : decodeRoot(entry.value);
     const version = entry?.version ?? 0;
     if (root === undefined) {
       const reason = 'the root record in the store is malformed';
       this.finish(
-        this.attempt === undefined ? { kind: 'rejected', reason } : { kind: 'unresolved' },
+        this.pendingRootWrite === undefined ? { kind: 'rejected', reason } : { kind: 'unresolved' },
       );
       return;
     }
@@ -105,10 +108,13 @@
       this.accept(revision, now);
       return;
     }
-    if (this.attempt?.version === version) {
-      // The lost write may still take effect, so only the same write may be sent on this version.
-      this.writeRoot(this.attempt, now);
-    } else if (this.attempt !== undefined && !coversRevision(root, this.attempt.next.revision)) {
+    if (this.pendingRootWrite?.version === version) {
+      // The unanswered write may still take effect, so only the same write may be sent for this version.
+      this.writeRoot(this.pendingRootWrite, now);
+    } else if (
+      this.pendingRootWrite !== undefined &&
+      !retainsChangeIdOfRevision(root, this.pendingRootWrite.next.revision)
+    ) {
       this.finish({ kind: 'unresolved' });
     } else {
       this.catchUp(root, entry, now);
@@ -116,40 +122,43 @@
   }
 
   private catchUp(root: RootRecord, entry: StoreEntry | undefined, now: ClockReading): void {
-    const { revision } = this.parts.history.current;
+    const { revision } = this.dependencies.history.current;
     if (revision > root.revision) {
-      this.later(now, (time) => {
+      this.retryAfterBackOff(now, (time) => {
         this.readRoot(time);
       });
       return;
     }
-    if (entry !== undefined) this.parts.follower.follow(entry, now);
+    if (entry !== undefined) this.dependencies.follower.follow(entry, now);
     this.awaitRevision(root, entry?.version ?? 0, now);
   }
 
   private awaitRevision(root: RootRecord, version: number, now: ClockReading): void {
-    const { revision } = this.parts.history.current;
+    const { revision } = this.dependencies.history.current;
     if (revision === root.revision) {
       this.prepare(root, version, now);
     } else if (revision > root.revision) {
       this.readRoot(now);
     } else {
-      this.parts.timers.after(now, catchUpCheckMilliseconds, (later) => {
+      this.dependencies.timers.schedule(now, catchUpPollMilliseconds, (later) => {
         if (!this.isDone) this.awaitRevision(root, version, later);
       });
     }
   }
 
-  /** Builds the change on a root that this node has in force. Earlier root writes can't succeed any more. */
+  /**
+   * Rebases the change onto a root that is in force on this node. Earlier root writes can't succeed
+   * any more.
+   */
   private prepare(root: RootRecord, version: number, now: ClockReading): void {
-    const { current } = this.parts.history;
-    const base = this.parts.history.at(this.message.baseRevision);
+    const { current } = this.dependencies.history;
+    const base = this.dependencies.history.configurationAt(this.message.baseRevision);
     const proposed = this.message.configuration;
     const change = diffConfigurations(base ?? current, proposed);
-    // Without the base nothing shows which parts the operator meant to change.
-    const since = base === undefined ? change : diffConfigurations(base, current);
-    if (base === undefined || changesOverlap(change, since)) {
-      const changedServices = describeChangedParts(since);
+    // Without the base it is unknown which parts the operator meant to change.
+    const concurrentChange = base === undefined ? change : diffConfigurations(base, current);
+    if (base === undefined || changesOverlap(change, concurrentChange)) {
+      const changedServices = describeChangedParts(concurrentChange);
       this.finish({ kind: 'conflict', revision: current.revision, changedServices });
       return;
     }
@@ -169,52 +178,54 @@
   }
 
   private writeRoot(prepared: PreparedRoot, now: ClockReading): void {
-    this.attempt = prepared;
+    this.pendingRootWrite = prepared;
     const operation = {
       kind: 'compare-and-swap',
       key: rootKey,
       expectedVersion: prepared.version,
       value: prepared.value,
-      guard: { key: collectionKey, version: prepared.collectionVersion },
+      guard: { key: garbageCollectionKey, version: prepared.garbageCollectionVersion },
     } as const;
-    this.parts.requests.start(operation, now, (result, later) => {
+    this.dependencies.requests.start(operation, now, (result, later) => {
       if (this.isDone) return;
       if (result.kind === 'written') this.accept(prepared.next.revision, later);
-      else if (result.kind === 'conflict') this.considerConflict(prepared, result.entry, later);
+      else if (result.kind === 'conflict') this.handleConflict(prepared, result.entry, later);
       else
-        this.later(later, (time) => {
+        this.retryAfterBackOff(later, (time) => {
           this.readRoot(time);
         });
     });
   }
 
   /**
-   * On an unchanged root the guard failed: records were deleted since this write was prepared. The
-   * guard's version never comes back, so this write can't succeed any more and is prepared anew.
+   * If the root is unchanged, the guard failed: records were deleted after this write was prepared. The
+   * guard's version never recurs, so this write can't succeed any more and is prepared again.
    */
-  private considerConflict(
+  private handleConflict(
     prepared: PreparedRoot,
     entry: StoreEntry | undefined,
     now: ClockReading,
   ): void {
-    if ((entry?.version ?? 0) === prepared.version) this.attempt = undefined;
-    this.considerRoot(entry, now);
+    if ((entry?.version ?? 0) === prepared.version) this.pendingRootWrite = undefined;
+    this.handleRoot(entry, now);
   }
 
   private accept(revision: number, now: ClockReading): void {
-    if (this.attempt?.next.revision === revision) this.parts.committed(this.attempt.next, now);
+    if (this.pendingRootWrite?.next.revision === revision)
+      this.dependencies.onCommitted(this.pendingRootWrite.next, now);
     this.finish({ kind: 'accepted', revision });
   }
 
-  private giveUp(): void {
-    const mayHold = this.attempt !== undefined || this.message.isResent === true;
-    if (mayHold) this.finish({ kind: 'unresolved' });
-    const reason = 'the platform store could not be asked in time; the change was not made';
+  private onTimeout(): void {
+    const mayHaveTakenEffect =
+      this.pendingRootWrite !== undefined || this.message.isResent === true;
+    if (mayHaveTakenEffect) this.finish({ kind: 'unresolved' });
+    const reason = 'the platform store did not answer in time; the change was not made';
     this.finish({ kind: 'rejected', reason });
   }
 
-  private later(now: ClockReading, action: (now: ClockReading) => void): void {
-    this.parts.timers.after(now, this.backOff.next(), (time) => {
+  private retryAfterBackOff(now: ClockReading, action: (now: ClockReading) => void): void {
+    this.dependencies.timers.schedule(now, this.backOff.nextDelay(), (time) => {
       if (!this.isDone) action(time);
     });
   }
@@ -222,6 +233,6 @@
   private finish(result: ProposalResult): void {
     if (this.isDone) return;
     this.isDone = true;
-    this.parts.concluded(result);
+    this.dependencies.onConcluded(result);
   }
 }
--- a/packages/core/src/configuration/record-references.ts
+++ b/packages/core/src/configuration/record-references.ts
@@ -12,52 +12,55 @@
   type RootRecord,
 } from './store-layout.js';
 
-/** The keys that a root refers to, directly and through its pages. */
+/** The keys to which a root refers, directly or through its pages. */
 export interface RecordReferences {
-  /** Version of the root record that refers to these keys and to no others. */
+  /** Version of the root record from which the references were read. */
   readonly rootVersion: number;
   readonly keys: ReadonlySet<string>;
 }
 
-/** Carries out a store operation of the current collection pass. */
+/** Executes a store operation of the current garbage-collection pass. */
 export type PassRequest = (
   operation: StoreOperation,
   now: ClockReading,
   use: (result: StoreResult, now: ClockReading) => void,
 ) => void;
 
-/** What a reader of references works with. */
-export interface ReferenceReaderParts {
+/** Dependencies and callbacks of a reference reader. */
+export interface ReferenceReaderDependencies {
   readonly request: PassRequest;
-  /** The references could not be read as a whole. */
-  readonly failed: (now: ClockReading) => void;
-  /** A record in the store can't be decoded. */
-  readonly malformed: (key: string) => void;
+  /** Called if the references could not be read completely. */
+  readonly onFailed: (now: ClockReading) => void;
+  /** Called if a record in the store can't be decoded. */
+  readonly onMalformed: (key: string) => void;
 }
 
-/** Reads what the root refers to; pages never change, so only new ones are read. */
+/**
+ * Reads the keys to which the root refers. Page records are immutable, so known ones are not read
+ * again.
+ */
 export class ReferenceReader {
   private pages = new Map<string, PageRecord>();
 
-  public constructor(private readonly parts: ReferenceReaderParts) {}
+  public constructor(private readonly dependencies: ReferenceReaderDependencies) {}
 
-  /** Calls `use` with the whole set of references, or reports the failure. */
+  /** Calls `use` with the complete set of references, or `onFailed`. */
   public read(
     now: ClockReading,
     use: (references: RecordReferences, now: ClockReading) => void,
   ): void {
-    this.parts.request({ kind: 'read', key: rootKey }, now, (result, later) => {
+    this.dependencies.request({ kind: 'read', key: rootKey }, now, (result, later) => {
       if (result.kind === 'missing') {
         use({ rootVersion: 0, keys: referencedKeys(emptyRoot, new Map()) }, later);
         return;
       }
       if (result.kind !== 'found') {
-        this.parts.failed(later);
+        this.dependencies.onFailed(later);
         return;
       }
       const root = decodeRoot(result.entry.value);
       if (root === undefined) {
-        this.reject(rootKey, later);
+        this.failMalformed(rootKey, later);
         return;
       }
       const { version } = result.entry;
@@ -84,17 +87,17 @@
       this.readPages(rest, pages.set(key, known), now, use);
       return;
     }
-    this.parts.request({ kind: 'read', key }, now, (result, later) => {
+    this.dependencies.request({ kind: 'read', key }, now, (result, later) => {
       const page = result.kind === 'found' ? decodePage(result.entry.value) : undefined;
       if (page !== undefined) this.readPages(rest, pages.set(key, page), later, use);
-      else if (result.kind === 'found') this.reject(key, later);
-      else this.parts.failed(later);
+      else if (result.kind === 'found') this.failMalformed(key, later);
+      else this.dependencies.onFailed(later);
     });
   }
 
-  private reject(key: string, now: ClockReading): void {
-    this.parts.malformed(key);
-    this.parts.failed(now);
+  private failMalformed(key: string, now: ClockReading): void {
+    this.dependencies.onMalformed(key);
+    this.dependencies.onFailed(now);
   }
 }
 
--- a/packages/core/src/configuration/root-follower.ts
+++ b/packages/core/src/configuration/root-follower.ts
@@ -5,34 +5,36 @@
 import type { StoreRequests } from '../shared/store-requests.js';
 import type { Timers } from '../shared/timers.js';
 import type { ConfigurationHistory } from './configuration-history.js';
-import type { ConfigurationSpreader } from './configuration-spreader.js';
+import type { ConfigurationDistributor } from './configuration-distributor.js';
 import type { RootLoader } from './root-loader.js';
 import { decodeRoot, rootKey } from './store-layout.js';
 
-/** Time for peers to deliver a revision before a node reads the whole configuration itself. */
-const peerGraceMilliseconds = 1_000;
-/** A watch result can be lost on its way, so watchers also read the root this often. */
-const readIntervalMilliseconds = 60_000;
+/**
+ * Time to wait for peers to send a revision before reading the whole configuration from the store.
+ */
+const peerDeliveryTimeoutMilliseconds = 1_000;
+/** Interval at which watching nodes also read the root, because a watch result can be lost. */
+const rootReadIntervalMilliseconds = 60_000;
 
-/** What the follower works with. */
-export interface RootFollowerParts {
+/** Dependencies of a root follower. */
+export interface RootFollowerDependencies {
   readonly requests: StoreRequests;
   readonly timers: Timers;
   readonly history: ConfigurationHistory;
   readonly loader: RootLoader;
-  readonly spreader: ConfigurationSpreader;
+  readonly distributor: ConfigurationDistributor;
   readonly random: RandomSource;
-  readonly report: (event: string, fields: Readonly<Record<string, string | number>>) => void;
+  readonly logWarning: (event: string, fields: Readonly<Record<string, string | number>>) => void;
 }
 
-/** Watches the root record and brings what it refers to into force. */
+/** Watches the root record and has the configuration that it refers to put in force. */
 export class RootFollower {
   private watchGeneration = 0;
   private isWatching = false;
   private readonly backOff: BackOff;
 
-  public constructor(private readonly parts: RootFollowerParts) {
-    this.backOff = new BackOff(parts.random, 200, 2_000);
+  public constructor(private readonly dependencies: RootFollowerDependencies) {
+    this.backOff = new BackOff(dependencies.random, 200, 2_000);
   }
 
   public setWatching(watching: boolean, now: ClockReading): void {
@@ -44,12 +46,12 @@
     this.scheduleRead(this.watchGeneration, now);
   }
 
-  /** Brings the configuration of a root record into force, from peers or from the store. */
+  /** Fetches the configuration of a root record, from peers or from the store. */
   public follow(entry: StoreEntry, now: ClockReading): void {
-    const { history, loader, spreader, timers } = this.parts;
+    const { history, loader, distributor, timers } = this.dependencies;
     const root = decodeRoot(entry.value);
     if (root === undefined) {
-      this.parts.report('malformed-root', { version: entry.version });
+      this.dependencies.logWarning('malformed-root', { version: entry.version });
       return;
     }
     if (root.revision < history.current.revision) return;
@@ -57,33 +59,33 @@
       loader.adopt(root, history.current);
       return;
     }
-    if (loader.isWarm || !spreader.hasPeers) {
+    if (loader.canLoadIncrementally || !distributor.hasPeers) {
       loader.start(root, now);
       return;
     }
-    spreader.pullFromPeers();
-    timers.after(now, peerGraceMilliseconds, (later) => {
+    distributor.pullFromPeers();
+    timers.schedule(now, peerDeliveryTimeoutMilliseconds, (later) => {
       if (root.revision > history.current.revision) loader.start(root, later);
     });
   }
 
-  /** Reads the root again after a record that it refers to was missing. */
-  public reread(now: ClockReading): void {
-    this.parts.timers.after(now, this.backOff.next(), (later) => {
+  /** Schedules another read of the root, for example after a record that it refers to was missing. */
+  public scheduleReread(now: ClockReading): void {
+    this.dependencies.timers.schedule(now, this.backOff.nextDelay(), (later) => {
       this.read(later);
     });
   }
 
   private read(now: ClockReading): void {
-    this.parts.requests.start({ kind: 'read', key: rootKey }, now, (result, later) => {
+    this.dependencies.requests.start({ kind: 'read', key: rootKey }, now, (result, later) => {
       if (result.kind === 'found') this.follow(result.entry, later);
-      else if (result.kind === 'unknown') this.reread(later);
+      else if (result.kind === 'unknown') this.scheduleReread(later);
     });
   }
 
   private watch(afterVersion: number, generation: number, now: ClockReading): void {
     const operation = { kind: 'watch', key: rootKey, afterVersion } as const;
-    this.parts.requests.start(operation, now, (result, later) => {
+    this.dependencies.requests.start(operation, now, (result, later) => {
       if (generation !== this.watchGeneration) return;
       if (result.kind === 'found') {
         this.backOff.reset();
@@ -91,14 +93,14 @@
         this.watch(Math.max(afterVersion, result.entry.version), generation, later);
         return;
       }
-      this.parts.timers.after(later, this.backOff.next(), (retryTime) => {
+      this.dependencies.timers.schedule(later, this.backOff.nextDelay(), (retryTime) => {
         if (generation === this.watchGeneration) this.watch(afterVersion, generation, retryTime);
       });
     });
   }
 
   private scheduleRead(generation: number, now: ClockReading): void {
-    this.parts.timers.after(now, readIntervalMilliseconds, (later) => {
+    this.dependencies.timers.schedule(now, rootReadIntervalMilliseconds, (later) => {
       if (generation !== this.watchGeneration) return;
       this.read(later);
       this.scheduleRead(generation, later);
--- a/packages/core/src/configuration/root-loader.ts
+++ b/packages/core/src/configuration/root-loader.ts
@@ -11,90 +11,95 @@
   drainsKey,
   pageCount,
   pageKey,
-  pageOf,
+  pageIndexOf,
   serviceKey,
   type DrainRecord,
   type PageRecord,
   type RootRecord,
 } from './store-layout.js';
 
-/** Reads at the store at a time; a whole load of 1,300 services must not crowd out other nodes. */
-const maximumReads = 32;
+/** Concurrent reads from the store; loading all 1,300 services must not starve other nodes. */
+const maximumConcurrentReads = 32;
 
-/** What the store held at a revision, as far as this node has read it. */
-interface StoreView {
+/** The records of a revision, as far as this node has read them from the store. */
+interface StoreSnapshot {
   readonly root: RootRecord;
   readonly configuration: Configuration;
   readonly pages: readonly (PageRecord | undefined)[];
 }
 
-interface Load {
+interface RootLoad {
   readonly root: RootRecord;
-  /** The view at the start: a later one may already hold values of newer revisions. */
-  readonly base: StoreView | undefined;
+  /** The snapshot at the start of the load; a later one may contain values of newer revisions. */
+  readonly base: StoreSnapshot | undefined;
   readonly pages: Map<number, PageRecord>;
   readonly services: Map<string, ServiceConfiguration>;
   drains: DrainRecord | undefined;
-  /** Keys that are still to be read, with what to do with their text; false means malformed. */
-  readonly waiting: { readonly key: string; readonly use: (text: string) => boolean }[];
-  reading: number;
+  /**
+   * Keys still to be read; `use` handles the text of a record and returns false if it is malformed.
+   */
+  readonly pendingReads: { readonly key: string; readonly use: (text: string) => boolean }[];
+  readsInFlight: number;
 }
 
-/** Reads configurations from the store, only the records that differ from what it has read before. */
+/** Loads configurations from the store, reading only the records that changed since the last load. */
 export class RootLoader {
-  private view: StoreView | undefined;
-  private load: Load | undefined;
-  private next: RootRecord | undefined;
+  private snapshot: StoreSnapshot | undefined;
+  private load: RootLoad | undefined;
+  private queuedRoot: RootRecord | undefined;
   private readonly backOff: BackOff;
 
   public constructor(
     private readonly requests: StoreRequests,
     private readonly timers: Timers,
     random: RandomSource,
-    private readonly loaded: (configuration: Configuration, now: ClockReading) => void,
-    /** A record that the root refers to is missing or malformed, so the root has to be read again. */
-    private readonly failed: (key: string, now: ClockReading) => void,
+    private readonly onLoaded: (configuration: Configuration, now: ClockReading) => void,
+    /**
+     * Called if a record that the root refers to is missing or malformed; the root has to be read
+     * again.
+     */
+    private readonly onFailed: (key: string, now: ClockReading) => void,
   ) {
     this.backOff = new BackOff(random, 100, 2_000);
   }
 
-  /** Whether a new root costs only the reads of what changed. */
-  public get isWarm(): boolean {
-    return this.view !== undefined;
+  /** Whether a snapshot exists, so that a new root requires only reads of the changed records. */
+  public get canLoadIncrementally(): boolean {
+    return this.snapshot !== undefined;
   }
 
-  /** Takes over which records make up a configuration that is already known. */
+  /** Records which root a configuration that is already in force belongs to. */
   public adopt(root: RootRecord, configuration: Configuration): void {
-    if (this.view !== undefined && this.view.root.revision >= root.revision) return;
-    const known = this.view;
+    if (this.snapshot !== undefined && this.snapshot.root.revision >= root.revision) return;
+    const known = this.snapshot;
     const pages = root.pages.map((page, index) =>
       known?.root.pages[index] === page ? known?.pages[index] : undefined,
     );
-    this.view = { root, configuration, pages };
+    this.snapshot = { root, configuration, pages };
   }
 
-  /** Starts to read what the root refers to; a newer root waits until the current load has ended. */
+  /** Starts to read the records of a root; during a load, a newer root is queued. */
   public start(root: RootRecord, now: ClockReading): void {
     if (this.load !== undefined) {
-      if (root.revision > (this.next ?? this.load.root).revision) this.next = root;
+      if (root.revision > (this.queuedRoot ?? this.load.root).revision) this.queuedRoot = root;
       return;
     }
-    const load: Load = {
+    const load: RootLoad = {
       root,
-      base: this.view,
+      base: this.snapshot,
       pages: new Map(),
       services: new Map(),
       drains: { drainedServers: [], drainedAvailabilityZones: [] },
-      waiting: [],
-      reading: 0,
+      pendingReads: [],
+      readsInFlight: 0,
     };
     this.load = load;
     this.queuePages(load);
     this.queueDrains(load);
-    this.proceed(load, now);
+    this.startPendingReads(load, now);
   }
 
-  private queuePages(load: Load): void {
+  private queuePages(load: RootLoad): void {
     for (let page = 0; page < pageCount; page += 1) {
       const pageId = load.root.pages[page];
       if (load.base !== undefined && load.base.root.pages[page] === pageId) continue;
@@ -102,19 +107,19 @@
         load.pages.set(page, new Map());
         continue;
       }
-      load.waiting.push({
+      load.pendingReads.push({
         key: pageKey(page, pageId),
-        use: (text) => this.usePage(load, page, text),
+        use: (text) => this.applyPage(load, page, text),
       });
     }
   }
 
-  private queueDrains(load: Load): void {
+  private queueDrains(load: RootLoad): void {
     const { drains } = load.root;
     if (load.base !== undefined && load.base.root.drains === drains) {
       load.drains = load.base.configuration;
     } else if (drains !== undefined) {
-      load.waiting.push({
+      load.pendingReads.push({
         key: drainsKey(drains),
         use: (text) => {
           load.drains = decodeDrains(text);
@@ -124,7 +129,7 @@
     }
   }
 
-  private usePage(load: Load, page: number, text: string): boolean {
+  private applyPage(load: RootLoad, page: number, text: string): boolean {
     const record = decodePage(text);
     if (record === undefined) return false;
     load.pages.set(page, record);
@@ -134,7 +139,7 @@
         load.services.set(name, known);
         continue;
       }
-      load.waiting.push({
+      load.pendingReads.push({
         key: serviceKey(name, changeId),
         use: (value) => {
           const service = decodeService(value, name);
@@ -146,43 +151,48 @@
     return true;
   }
 
-  private proceed(load: Load, now: ClockReading): void {
-    while (load.reading < maximumReads) {
-      const read = load.waiting.shift();
+  private startPendingReads(load: RootLoad, now: ClockReading): void {
+    while (load.readsInFlight < maximumConcurrentReads) {
+      const read = load.pendingReads.shift();
       if (read === undefined) break;
-      load.reading += 1;
+      load.readsInFlight += 1;
       this.read(load, read.key, read.use, now);
     }
-    if (load.reading === 0 && load.waiting.length === 0) this.finish(load, now);
+    if (load.readsInFlight === 0 && load.pendingReads.length === 0) this.finish(load, now);
   }
 
-  private read(load: Load, key: string, use: (text: string) => boolean, now: ClockReading): void {
+  private read(
+    load: RootLoad,
+    key: string,
+    use: (text: string) => boolean,
+    now: ClockReading,
+  ): void {
     this.requests.start({ kind: 'read', key }, now, (result, later) => {
       if (this.load !== load) return;
       if (result.kind === 'found' && use(result.entry.value)) {
         this.backOff.reset();
-        load.reading -= 1;
-        this.proceed(load, later);
+        load.readsInFlight -= 1;
+        this.startPendingReads(load, later);
       } else if (result.kind === 'found' || result.kind === 'missing') {
-        this.abandon(key, later);
+        this.fail(key, later);
       } else {
-        this.timers.after(later, this.backOff.next(), (retryTime) => {
+        this.timers.schedule(later, this.backOff.nextDelay(), (retryTime) => {
           if (this.load === load) this.read(load, key, use, retryTime);
         });
       }
     });
   }
 
-  private abandon(key: string, now: ClockReading): void {
+  private fail(key: string, now: ClockReading): void {
     this.load = undefined;
-    if (!this.startNext(now)) this.failed(key, now);
+    if (!this.startQueuedRoot(now)) this.onFailed(key, now);
   }
 
-  private finish(load: Load, now: ClockReading): void {
+  private finish(load: RootLoad, now: ClockReading): void {
     const services: Record<string, ServiceConfiguration> = {};
     const known = load.base?.configuration.services ?? {};
     for (const [name, service] of Object.entries(known)) {
-      if (!load.pages.has(pageOf(name))) services[name] = service;
+      if (!load.pages.has(pageIndexOf(name))) services[name] = service;
     }
     for (const [name, service] of load.services) {
       services[name] = service;
@@ -194,19 +204,19 @@
       drainedAvailabilityZones: load.drains?.drainedAvailabilityZones ?? [],
     };
     const pages = load.root.pages.map((_, page) => load.pages.get(page) ?? load.base?.pages[page]);
-    if (load.root.revision > (this.view?.root.revision ?? 0)) {
-      this.view = { root: load.root, configuration, pages };
+    if (load.root.revision > (this.snapshot?.root.revision ?? 0)) {
+      this.snapshot = { root: load.root, configuration, pages };
     }
     this.load = undefined;
-    this.loaded(configuration, now);
-    this.startNext(now);
+    this.onLoaded(configuration, now);
+    this.startQueuedRoot(now);
   }
 
-  private startNext(now: ClockReading): boolean {
-    const { next } = this;
-    this.next = undefined;
-    if (next === undefined) return false;
-    this.start(next, now);
+  private startQueuedRoot(now: ClockReading): boolean {
+    const { queuedRoot } = this;
+    this.queuedRoot = undefined;
+    if (queuedRoot === undefined) return false;
+    this.start(queuedRoot, now);
     return true;
   }
 }
--- a/packages/core/src/configuration/store-layout.ts
+++ b/packages/core/src/configuration/store-layout.ts
@@ -1,47 +1,58 @@
 import type { Configuration, ServiceConfiguration } from '../messages/service-configuration.js';
 import { hashString } from '../shared/string-hash.js';
 import { parseService } from './configuration-validation.js';
-import { isRecord } from './field-checks.js';
+import { isPlainObject } from './field-checks.js';
 
-/** Pages over which the services are spread; a change rewrites only the pages of its services. */
+/**
+ * Number of pages among which the services are divided; a change rewrites only the pages of its
+ * services.
+ */
 export const pageCount = 64;
-/** Change identifiers kept in the root; a lost answer can be resolved while its change is among them. */
-export const keptChangeIds = 256;
+/**
+ * Change identifiers retained in the root record. While a change is among them, reading the root shows
+ * whether a write with an unknown result took effect.
+ */
+export const maximumRetainedChangeIds = 256;
 
-/** Key of the only record that changes; writing it commits a change. */
+/**
+ * Key of the root record, the only mutable record of a configuration; writing it commits a change.
+ */
 export const rootKey = 'configuration/root';
 
 /**
- * Key of the record that every deletion writes. Its version shows a proposal that records were deleted
- * since it read it, and its value names the node that collects.
+ * Key of the garbage-collection record, which every deletion writes. By its version a proposal detects
+ * that records were deleted since it read the version; its value names the node that collects garbage.
  */
-export const collectionKey = 'configuration/collection';
+export const garbageCollectionKey = 'configuration/collection';
 
-/** Prefixes of the records that a root refers to. Nothing outside of them is ever deleted. */
-export const collectedPrefixes = [
+/**
+ * Key prefixes of the records that a root refers to. Only keys with these prefixes are ever
+ * deleted.
+ */
+export const collectablePrefixes = [
   'configuration/drains/',
   'configuration/page/',
   'configuration/service/',
 ] as const;
 
-/** The root record: what is in force is what it refers to. */
+/** The root record; the configuration in force consists of the records that it refers to. */
 export interface RootRecord {
   readonly revision: number;
-  /** Identifier of each page's record; undefined while a page has no services. */
+  /** Record identifier of each page; undefined while a page has no services. */
   readonly pages: readonly (string | undefined)[];
-  /** Identifier of the record of drained servers and zones. */
+  /** Identifier of the record of drained servers and zones, if there is one. */
   readonly drains: string | undefined;
   /** Identifiers of the newest changes, the last being the one that made this revision. */
   readonly changeIds: readonly string[];
 }
 
-/** Maps the services of one page to the identifier of their value's record. */
+/** Maps each service of a page to the identifier of the change that wrote its record. */
 export type PageRecord = ReadonlyMap<string, string>;
 
 /** Drained servers and availability zones. */
 export type DrainRecord = Pick<Configuration, 'drainedServers' | 'drainedAvailabilityZones'>;
 
-/** Stands for the root of a store that holds no configuration yet. */
+/** The root that is assumed while the store contains no configuration. */
 export const emptyRoot: RootRecord = {
   revision: 0,
   pages: Array.from({ length: pageCount }, () => undefined),
@@ -49,12 +60,12 @@
   changeIds: [],
 };
 
-/** Number of the page that lists a service. */
-export function pageOf(service: string): number {
+/** Index of the page that a service belongs to. */
+export function pageIndexOf(service: string): number {
   return hashString(service) % pageCount;
 }
 
-/** Key of a service's value as one change wrote it. */
+/** Key of the record of a service as a change wrote it. */
 export function serviceKey(service: string, changeId: string): string {
   return `configuration/service/${service}/${changeId}`;
 }
@@ -70,25 +81,27 @@
 }
 
 /**
- * Identifies what a change writes on top of a given root. The base belongs to it because a rebased
- * change writes other pages, and a record, once written, never changes.
+ * Identifier of the records that a change writes on top of a root. It includes the base revision because
+ * a rebased change writes different pages, and records are immutable.
  */
-export function derivedId(changeId: string, baseRevision: number): string {
+export function derivedRecordId(changeId: string, baseRevision: number): string {
   return `${changeId}@${baseRevision}`;
 }
 
-/** Revision that a change made, undefined when it is not among the kept ones. */
+/** Revision that a change created; undefined if the change is not among the retained identifiers. */
 export function revisionOfChange(root: RootRecord, changeId: string): number | undefined {
   const index = root.changeIds.lastIndexOf(changeId);
   return index < 0 ? undefined : root.revision - (root.changeIds.length - 1 - index);
 }
 
-/** Whether a change that made this revision would still be among the kept identifiers. */
-export function coversRevision(root: RootRecord, revision: number): boolean {
+/** Whether the change that created this revision would still be among the retained identifiers. */
+export function retainsChangeIdOfRevision(root: RootRecord, revision: number): boolean {
   return revision > root.revision - root.changeIds.length;
 }
 
-/** What the text of a root record says of a change; undefined when the text is not a root record. */
+/**
+ * Finds a change in the text of a root record; returns undefined if the text is not a root record.
+ */
 export function findChange(
   rootText: string,
   changeId: string,
@@ -97,30 +110,30 @@
   return root && { changeRevision: revisionOfChange(root, changeId), rootRevision: root.revision };
 }
 
-/** JSON text of a root record. */
+/** Encodes a root record as JSON. */
 export function encodeRoot(root: RootRecord): string {
   return JSON.stringify({ ...root, pages: root.pages.map((page) => page ?? null) });
 }
 
-/** JSON text of a page; equal pages have equal text. */
+/** Encodes a page as JSON; equal pages have equal text. */
 export function encodePage(page: PageRecord): string {
   return JSON.stringify(
-    Object.fromEntries([...page].sort(([left], [right]) => compare(left, right))),
+    Object.fromEntries([...page].sort(([left], [right]) => compareStrings(left, right))),
   );
 }
 
-/** JSON text of the drained servers and zones. */
+/** Encodes the drained servers and zones as JSON. */
 export function encodeDrains(drains: DrainRecord): string {
   const { drainedServers, drainedAvailabilityZones } = drains;
   return JSON.stringify({ drainedServers, drainedAvailabilityZones });
 }
 
-/** Returns undefined for text that is no root record. */
+/** Decodes a root record; returns undefined if the text is malformed. */
 export function decodeRoot(text: string): RootRecord | undefined {
   const value = parseJson(text);
-  if (!isRecord(value) || typeof value.revision !== 'number') return undefined;
+  if (!isPlainObject(value) || typeof value.revision !== 'number') return undefined;
   const { pages, drains, changeIds, revision } = value;
-  if (!Array.isArray(pages) || pages.length !== pageCount || !isTextList(changeIds)) {
+  if (!Array.isArray(pages) || pages.length !== pageCount || !isStringArray(changeIds)) {
     return undefined;
   }
   return {
@@ -131,10 +144,10 @@
   };
 }
 
-/** Returns undefined for text that is no page record. */
+/** Decodes a page record; returns undefined if the text is malformed. */
 export function decodePage(text: string): PageRecord | undefined {
   const value = parseJson(text);
-  if (!isRecord(value)) return undefined;
+  if (!isPlainObject(value)) return undefined;
   const entries = Object.entries(value);
   if (!entries.every((entry): entry is [string, string] => typeof entry[1] === 'string')) {
     return undefined;
@@ -142,25 +155,25 @@
   return new Map(entries);
 }
 
-/** Returns undefined for text that is no valid service of this name. */
+/** Decodes the record of a service; returns undefined if it is not a valid service of this name. */
 export function decodeService(text: string, name: string): ServiceConfiguration | undefined {
   return parseService(parseJson(text), name);
 }
 
-/** Returns undefined for text that is no record of drained servers and zones. */
+/** Decodes a record of drained servers and zones; returns undefined if the text is malformed. */
 export function decodeDrains(text: string): DrainRecord | undefined {
   const value = parseJson(text);
-  if (!isRecord(value)) return undefined;
+  if (!isPlainObject(value)) return undefined;
   const { drainedServers, drainedAvailabilityZones } = value;
-  if (!isTextList(drainedServers) || !isTextList(drainedAvailabilityZones)) return undefined;
+  if (!isStringArray(drainedServers) || !isStringArray(drainedAvailabilityZones)) return undefined;
   return { drainedServers, drainedAvailabilityZones };
 }
 
-function isTextList(value: unknown): value is readonly string[] {
+function isStringArray(value: unknown): value is readonly string[] {
   return Array.isArray(value) && value.every((element) => typeof element === 'string');
 }
 
-function compare(left: string, right: string): number {
+function compareStrings(left: string, right: string): number {
   return left < right ? -1 : 1;
 }
 
--- a/packages/core/src/entry/entry-clock.ts
+++ b/packages/core/src/entry/entry-clock.ts
@@ -1,14 +1,14 @@
 import type { ClockReading } from '../shared/clock-reading.js';
 
-/** Ticks come every 50 ms at least; a longer gap means that the process did not run. */
-const pauseMilliseconds = 100;
-/** Time after a pause in which requests are read that had been waiting in its sockets. */
+/** Ticks are at most 50 ms apart; a gap of this length means that the process was paused. */
+const pauseThresholdMilliseconds = 100;
+/** Time after a pause during which requests may be read that waited in sockets during the pause. */
 const backlogMilliseconds = 2_000;
 
 /**
- * Dates the arrival of requests. A request that waited in a socket while the process was paused may
- * be older than a refusal of its key that another node passed on, so after a pause requests are dated
- * to its start; the home then takes them for void.
+ * Determines the arrival time of requests. While the process was paused, a request may have waited in a
+ * socket, and meanwhile another node may have forwarded a refusal of its key. Requests read after a
+ * pause are therefore dated to the start of the pause, so that the home treats them as void.
  */
 export class EntryClock {
   private lastTickAt: ClockReading | undefined;
@@ -16,20 +16,26 @@
   private backlogUntil = Number.NEGATIVE_INFINITY;
 
   public tick(now: ClockReading): void {
-    this.notice(now);
+    this.detectPause(now);
     this.lastTickAt = now;
   }
 
-  /** Wall time at or before which a request that is read now had arrived. */
-  public receivedAt(now: ClockReading): number {
-    this.notice(now);
+  /**
+   * Arrival time (wall time) of a request that is read now; after a pause, the earliest time at which
+   * it can have arrived.
+   */
+  public arrivalTime(now: ClockReading): number {
+    this.detectPause(now);
     const isBacklog = now.monotonic < this.backlogUntil;
     return isBacklog ? (this.pausedAt?.wall ?? now.wall) : now.wall;
   }
 
-  private notice(now: ClockReading): void {
+  private detectPause(now: ClockReading): void {
     const { lastTickAt } = this;
-    if (lastTickAt === undefined || now.monotonic - lastTickAt.monotonic < pauseMilliseconds) {
+    if (
+      lastTickAt === undefined ||
+      now.monotonic - lastTickAt.monotonic < pauseThresholdMilliseconds
+    ) {
       return;
     }
     if (now.monotonic >= this.backlogUntil) {
--- a/packages/core/src/entry/key-inquiry.ts
+++ b/packages/core/src/entry/key-lookup.ts
@@ -1,46 +1,46 @@
-import type { KeyKnownCommand } from '../messages/core-command.js';
+import type { KeyStateCommand } from '../messages/core-command.js';
 import type { KeyAnswerFrame, KeyQuestionFrame } from '../messages/frames.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 import type { KeyedForwarderOptions } from './keyed-forwarder.js';
 
-const answerLimitMilliseconds = 2_000;
+const answerTimeoutMilliseconds = 2_000;
 
-export type InquiryCommand =
+export type KeyLookupCommand =
   | { readonly kind: 'ask'; readonly to: string; readonly frame: KeyQuestionFrame }
   | { readonly kind: 'need-table'; readonly service: string }
-  | KeyKnownCommand;
+  | KeyStateCommand;
 
-interface Inquiry {
+interface PendingLookup {
   readonly questionId: number;
   readonly callId: number;
   readonly service: string;
   readonly key: string;
-  readonly endsAt: number;
+  readonly expiresAt: number;
   home: string | undefined;
 }
 
-/** Asks the homes of keys what they know of them. */
-export class KeyInquiry {
-  private readonly inquiries = new Map<number, Inquiry>();
+/** Asks the homes of keys for the recorded state of the keys. */
+export class KeyLookup {
+  private readonly pendingLookups = new Map<number, PendingLookup>();
 
   public constructor(private readonly options: KeyedForwarderOptions) {}
 
   public begin(
-    question: Pick<Inquiry, 'key' | 'questionId' | 'service'>,
+    question: Pick<PendingLookup, 'key' | 'questionId' | 'service'>,
     now: ClockReading,
-  ): InquiryCommand[] {
-    const inquiry: Inquiry = {
+  ): KeyLookupCommand[] {
+    const inquiry: PendingLookup = {
       ...question,
       callId: this.options.nextCallId(),
-      endsAt: now.monotonic + answerLimitMilliseconds,
+      expiresAt: now.monotonic + answerTimeoutMilliseconds,
       home: undefined,
     };
-    this.inquiries.set(inquiry.callId, inquiry);
+    this.pendingLookups.set(inquiry.callId, inquiry);
     return this.ask(inquiry);
   }
 
-  public answered(from: string, { callId, state, status }: KeyAnswerFrame): InquiryCommand[] {
-    const inquiry = this.inquiries.get(callId);
+  public onAnswer(from: string, { callId, state, status }: KeyAnswerFrame): KeyLookupCommand[] {
+    const inquiry = this.pendingLookups.get(callId);
     if (inquiry?.home !== from) {
       return [];
     }
@@ -48,14 +48,14 @@
   }
 
   public get inProgress(): number {
-    return this.inquiries.size;
+    return this.pendingLookups.size;
   }
 
-  /** Asks again where the table was missing, and ends questions without an answer. */
-  public tick(now: ClockReading): InquiryCommand[] {
-    const commands: InquiryCommand[] = [];
-    for (const inquiry of [...this.inquiries.values()]) {
-      if (now.monotonic >= inquiry.endsAt) {
+  /** Retries lookups that lacked a home table, and concludes lookups whose time-out has passed. */
+  public tick(now: ClockReading): KeyLookupCommand[] {
+    const commands: KeyLookupCommand[] = [];
+    for (const inquiry of [...this.pendingLookups.values()]) {
+      if (now.monotonic >= inquiry.expiresAt) {
         commands.push(...this.conclude(inquiry, undefined, undefined));
       } else if (inquiry.home === undefined) {
         commands.push(...this.ask(inquiry));
@@ -64,7 +64,7 @@
     return commands;
   }
 
-  private ask(inquiry: Inquiry): InquiryCommand[] {
+  private ask(inquiry: PendingLookup): KeyLookupCommand[] {
     const { callId, key, service } = inquiry;
     const home = this.options.table(service)?.ranges[this.options.rangeOf(key)];
     if (home === undefined) {
@@ -77,11 +77,11 @@
   }
 
   private conclude(
-    { callId, home, questionId }: Inquiry,
-    state: KeyKnownCommand['state'],
+    { callId, home, questionId }: PendingLookup,
+    state: KeyStateCommand['state'],
     status: number | undefined,
-  ): InquiryCommand[] {
-    this.inquiries.delete(callId);
+  ): KeyLookupCommand[] {
+    this.pendingLookups.delete(callId);
     return [{ home, kind: 'key-known', questionId, state, status }];
   }
 }
--- a/packages/core/src/entry/keyed-forwarder.ts
+++ b/packages/core/src/entry/keyed-forwarder.ts
@@ -3,12 +3,15 @@
 import type { UnknownReason } from '../messages/outcome.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 
-/** A node that follows more than this many changes of the home answers outcome-unknown. */
+/** After more failed sends to a home than this, the caller is answered outcome-unknown. */
 const maximumHops = 4;
-/** How long a request waits for the home table of a service that this node has not used yet. */
+/**
+ * How long a request waits for a home table, for example of a service that this node has not used
+ * yet.
+ */
 const tableWaitMilliseconds = 1_000;
 const retryAfterMilliseconds = 1_000;
-/** Time until a home that could not take a request is tried again if no newer table came. */
+/** Time after which a home that did not accept a request is tried again if no newer table arrived. */
 const sameHomeRetryMilliseconds = 200;
 
 /** A keyed request of one of this node's callers. */
@@ -33,22 +36,22 @@
       readonly outcome: Exclude<KeyedOutcome, { readonly kind: 'not-home' }>;
     };
 
-/** Why the home that a table named did not take a request. */
+/** Why the home that a table named did not accept a request. */
 interface HomeFailure {
   readonly home: string;
   readonly version: number;
   readonly reason: UnknownReason;
-  /** Monotonic time. */
+  /** Monotonic time at which the same home may be tried again. */
   readonly retryAt: number;
 }
 
-interface Forwarded {
+interface PendingRequest {
   readonly request: KeyedRequest;
   readonly callId: number;
   hops: number;
-  /** The home that holds the request now; undefined while the table is awaited. */
+  /** The home that the request was sent to; undefined while waiting for a table. */
   home: string | undefined;
-  /** The last home that did not take it. */
+  /** The last home that did not accept the request. */
   failure: HomeFailure | undefined;
   waitingSince: number;
 }
@@ -61,16 +64,16 @@
 
 /** Sends keyed requests to the home of their key and follows the home when it moves. */
 export class KeyedForwarder {
-  private readonly forwarded = new Map<number, Forwarded>();
+  private readonly pendingRequests = new Map<number, PendingRequest>();
 
   public constructor(private readonly options: KeyedForwarderOptions) {}
 
   public get inProgress(): number {
-    return this.forwarded.size;
+    return this.pendingRequests.size;
   }
 
   public begin(request: KeyedRequest, now: ClockReading): ForwarderCommand[] {
-    const entry: Forwarded = {
+    const pending: PendingRequest = {
       callId: this.options.nextCallId(),
       failure: undefined,
       home: undefined,
@@ -78,71 +81,71 @@
       request,
       waitingSince: now.monotonic,
     };
-    this.forwarded.set(entry.callId, entry);
-    return this.send(entry, now);
+    this.pendingRequests.set(pending.callId, pending);
+    return this.send(pending, now);
   }
 
-  /** The home's word on a request. */
-  public outcome(
+  /** Handles the outcome of a request that the home reported. */
+  public onOutcome(
     from: string,
     callId: number,
     outcome: KeyedOutcome,
     now: ClockReading,
   ): ForwarderCommand[] {
-    const entry = this.forwarded.get(callId);
-    if (entry?.home !== from) {
+    const pending = this.pendingRequests.get(callId);
+    if (pending?.home !== from) {
       return [];
     }
     if (outcome.kind !== 'not-home') {
-      return this.conclude(entry, outcome);
+      return this.conclude(pending, outcome);
     }
-    return this.tryAgain(entry, 'no-home', now);
+    return this.resend(pending, 'no-home', now);
   }
 
-  /** Services whose table is awaited by a request. */
+  /** Services whose home table a request is waiting for. */
   public waitingServices(): ReadonlySet<string> {
     const services = new Set<string>();
-    for (const entry of this.forwarded.values()) {
-      if (entry.home === undefined) {
-        services.add(entry.request.head.service);
+    for (const pending of this.pendingRequests.values()) {
+      if (pending.home === undefined) {
+        services.add(pending.request.head.service);
       }
     }
     return services;
   }
 
-  /** The frame to the home never left this node. */
-  public notSent(callId: number, now: ClockReading): ForwarderCommand[] {
-    const entry = this.forwarded.get(callId);
-    return entry === undefined ? [] : this.tryAgain(entry, 'home-unreachable', now);
+  /** The frame to the home could not be sent. */
+  public onNotSent(callId: number, now: ClockReading): ForwarderCommand[] {
+    const pending = this.pendingRequests.get(callId);
+    return pending === undefined ? [] : this.resend(pending, 'home-unreachable', now);
   }
 
-  /** A home can't be asked any more whether it started a request. */
-  public peerLost(server: string): ForwarderCommand[] {
+  /** The connection to a home was lost, so it is unknown whether the home started its requests. */
+  public onPeerLost(server: string): ForwarderCommand[] {
     const commands: ForwarderCommand[] = [];
-    for (const entry of [...this.forwarded.values()]) {
-      if (entry.home === server) {
-        commands.push(...this.unknown(entry, 'connection-lost', true));
+    for (const pending of [...this.pendingRequests.values()]) {
+      if (pending.home === server) {
+        commands.push(...this.concludeUnknown(pending, 'connection-lost', true));
       }
     }
     return commands;
   }
 
-  /** A newer table of a service arrived. */
-  public tableChanged(service: string, now: ClockReading): ForwarderCommand[] {
+  /** A newer home table of a service arrived. */
+  public onTableChanged(service: string, now: ClockReading): ForwarderCommand[] {
     const commands: ForwarderCommand[] = [];
-    for (const entry of [...this.forwarded.values()]) {
-      if (entry.home === undefined && entry.request.head.service === service) {
-        commands.push(...this.send(entry, now));
+    for (const pending of [...this.pendingRequests.values()]) {
+      if (pending.home === undefined && pending.request.head.service === service) {
+        commands.push(...this.send(pending, now));
       }
     }
     return commands;
   }
 
-  /** The caller went away; the home still finishes the request and keeps its record. */
+  /** The caller disconnected; the home still completes the request and keeps its record. */
   public abandon(requestNumber: number): void {
-    for (const entry of this.forwarded.values()) {
-      if (entry.request.requestNumber === requestNumber) {
-        this.forwarded.delete(entry.callId);
+    for (const pending of this.pendingRequests.values()) {
+      if (pending.request.requestNumber === requestNumber) {
+        this.pendingRequests.delete(pending.callId);
         return;
       }
     }
@@ -150,38 +153,46 @@
 
   public tick(now: ClockReading): ForwarderCommand[] {
     const commands: ForwarderCommand[] = [];
-    for (const entry of [...this.forwarded.values()]) {
-      const isWaiting = entry.home === undefined;
-      if (now.monotonic >= entry.request.deadline) {
+    for (const pending of [...this.pendingRequests.values()]) {
+      const isWaiting = pending.home === undefined;
+      if (now.monotonic >= pending.request.deadline) {
         commands.push(
           ...(isWaiting
-            ? this.unknown(entry, entry.failure?.reason ?? 'no-home', false)
-            : this.unknown(entry, 'deadline-after-start', true)),
+            ? this.concludeUnknown(pending, pending.failure?.reason ?? 'no-home', false)
+            : this.concludeUnknown(pending, 'deadline-after-start', true)),
+        );
+      } else if (isWaiting && now.monotonic - pending.waitingSince >= tableWaitMilliseconds) {
+        commands.push(
+          ...this.concludeUnknown(pending, pending.failure?.reason ?? 'no-home', false),
         );
-      } else if (isWaiting && now.monotonic - entry.waitingSince >= tableWaitMilliseconds) {
-        commands.push(...this.unknown(entry, entry.failure?.reason ?? 'no-home', false));
       }
     }
     return commands;
   }
 
-  /** Nothing was started, so the request may go to the home that a newer table names. */
-  private tryAgain(entry: Forwarded, reason: UnknownReason, now: ClockReading): ForwarderCommand[] {
-    const { home, request } = entry;
+  /** The home didn't start the request, so it may be sent again, to the home in the newest table. */
+  private resend(
+    pending: PendingRequest,
+    reason: UnknownReason,
+    now: ClockReading,
+  ): ForwarderCommand[] {
+    const { home, request } = pending;
     if (home === undefined) {
       return [];
     }
     const version = this.options.table(request.head.service)?.version ?? 0;
     const retryAt = now.monotonic + sameHomeRetryMilliseconds;
-    entry.failure = { home, reason, retryAt, version };
-    entry.home = undefined;
-    entry.hops += 1;
-    entry.waitingSince = now.monotonic;
-    return entry.hops > maximumHops ? this.unknown(entry, reason, false) : this.send(entry, now);
+    pending.failure = { home, reason, retryAt, version };
+    pending.home = undefined;
+    pending.hops += 1;
+    pending.waitingSince = now.monotonic;
+    return pending.hops > maximumHops
+      ? this.concludeUnknown(pending, reason, false)
+      : this.send(pending, now);
   }
 
-  private send(entry: Forwarded, now: ClockReading): ForwarderCommand[] {
-    const { failure, request } = entry;
+  private send(pending: PendingRequest, now: ClockReading): ForwarderCommand[] {
+    const { failure, request } = pending;
     const table = this.options.table(request.head.service);
     const home = table?.ranges[this.options.rangeOf(request.key)];
     const hasJustFailed =
@@ -191,12 +202,12 @@
     if (home === undefined || hasJustFailed) {
       return [{ kind: 'need-table', service: request.head.service }];
     }
-    entry.home = home.server;
+    pending.home = home.server;
     return [
       {
         frame: {
           body: request.body,
-          callId: entry.callId,
+          callId: pending.callId,
           digest: request.digest,
           head: request.head,
           key: request.key,
@@ -210,12 +221,12 @@
     ];
   }
 
-  private unknown(
-    entry: Forwarded,
+  private concludeUnknown(
+    pending: PendingRequest,
     reason: UnknownReason,
     attemptStarted: boolean,
   ): ForwarderCommand[] {
-    return this.conclude(entry, {
+    return this.conclude(pending, {
       attemptStarted,
       kind: 'outcome-unknown',
       reason,
@@ -224,10 +235,10 @@
   }
 
   private conclude(
-    entry: Forwarded,
+    pending: PendingRequest,
     outcome: Exclude<KeyedOutcome, { readonly kind: 'not-home' }>,
   ): ForwarderCommand[] {
-    this.forwarded.delete(entry.callId);
-    return [{ kind: 'conclude', outcome, requestNumber: entry.request.requestNumber }];
+    this.pendingRequests.delete(pending.callId);
+    return [{ kind: 'conclude', outcome, requestNumber: pending.request.requestNumber }];
   }
 }
--- a/packages/core/src/entry/request-rules.ts
+++ b/packages/core/src/entry/request-rules.ts
@@ -1,12 +1,15 @@
 import type { Configuration, ServiceConfiguration } from '../messages/service-configuration.js';
 import { RefusalReason, RequestClass } from '../messages/outcome.js';
 
-/** Loops between services are refused beyond this many hops; real chains are up to 10 deep. */
+/**
+ * Maximum depth of a chain of calls, which stops loops between services; real chains are up to 10
+ * deep.
+ */
 export const maximumDepth = 16;
-/** Longest accepted `Idempotency-Key`. */
+/** Maximum length of `Idempotency-Key` in characters. */
 export const maximumKeyLength = 128;
 
-/** What a caller sent, before anything was checked. */
+/** The parts of a caller's request that are validated, as received. */
 export interface RawRequest {
   readonly method: string;
   /** Path and query as received. */
@@ -16,7 +19,7 @@
   readonly depth: string | undefined;
 }
 
-/** A request that may be sent on. */
+/** A valid request. */
 export interface AcceptedRequest {
   readonly kind: 'accepted';
   readonly service: string;
@@ -29,14 +32,14 @@
   readonly key: string | undefined;
 }
 
-/** A request that is wrong; the detail names the field and what is accepted. */
+/** An invalid request; the detail names the field and what is accepted. */
 export interface RejectedRequest {
   readonly kind: 'rejected';
   readonly reason: RefusalReason;
   readonly detail: string;
-  /** Present when the request was recognised; what is said of a keyed request depends on it. */
+  /** Present if the service is declared; the answer to a keyed request depends on it. */
   readonly requestClass?: RequestClass | undefined;
-  /** Present when the path names a declared service. */
+  /** Present if the path names a declared service. */
   readonly service?: string | undefined;
 }
 
@@ -52,7 +55,10 @@
   return { path: rest.startsWith('/') ? rest : `/${rest}`, service };
 }
 
-/** Finds the class of a request; without a declared kind only GET and HEAD count as idempotent. */
+/**
+ * Returns the kind and class of a request; without a declared kind only GET and HEAD are
+ * idempotent.
+ */
 export function classifyRequest(
   service: ServiceConfiguration,
   method: string,
@@ -118,7 +124,7 @@
   return text;
 }
 
-/** Checks a caller's request against the configuration in force. */
+/** Validates a caller's request against the configuration in force. */
 export function checkRequest(
   raw: RawRequest,
   configuration: Configuration,
--- a/packages/core/src/gate/concurrency-limit.ts
+++ b/packages/core/src/gate/concurrency-limit.ts
@@ -1,20 +1,20 @@
-/** A finished request, as evidence of how many requests the upstream can run at once. */
+/** Measurement of an answered request, from which a {@link ConcurrencyLimit} learns. */
 export interface ConcurrencySample {
   readonly latencyMilliseconds: number;
   /** Monotonic time at which the request was started. */
   readonly startedAt: number;
-  /** Requests that ran when this one finished, itself included. */
+  /** Number of running requests when this one finished, itself included. */
   readonly inFlight: number;
-  /** Requests that ran when this one had started, itself included. */
+  /** Number of running requests when this one started, itself included. */
   readonly inFlightAtStart: number;
 }
 
-/** Learns how many requests the upstream can run at once. */
+/** Estimates how many requests the upstream can run concurrently. */
 export interface ConcurrencyLimit {
-  /** Between 1 and the announced slots. */
+  /** Maximum number of concurrent requests, between 1 and the announced slots. */
   readonly limit: number;
-  /** Sets the announced slots and forgets what was learned when `isNewUpstream`. */
-  announce(slots: number, isNewUpstream: boolean): void;
-  /** Records an answered request that finished at the monotonic time `now`. */
-  answered(sample: ConcurrencySample, now: number): void;
+  /** Sets the announced slots; `isNewUpstream` discards what was learned. */
+  setSlots(slots: number, isNewUpstream: boolean): void;
+  /** Records an answered request; `now` is the monotonic time at which it finished. */
+  onAnswered(sample: ConcurrencySample, now: number): void;
 }
--- a/packages/core/src/gate/deadline-heap.ts
+++ b/packages/core/src/gate/deadline-heap.ts
@@ -1,8 +1,8 @@
 /** An element of a {@link DeadlineHeap}. */
 export interface HeapElement {
-  /** Monotonic time by which the answer is due. */
+  /** Monotonic time by which the response is due. */
   readonly deadline: number;
-  /** Position in the heap, kept up to date by the heap. */
+  /** Index in the heap, maintained by the heap. */
   heapIndex: number;
 }
 
@@ -33,14 +33,16 @@
     this.siftDown(last, last.heapIndex);
   }
 
-  /** Counts the elements that are due at or before the deadline, without visiting later ones' children. */
-  public countUntil(deadline: number, index = 0): number {
+  /**
+   * Counts the elements due at or before `deadline`; the children of elements due later are skipped.
+   */
+  public countDueBy(deadline: number, index = 0): number {
     const element = this.elements[index];
     if (element === undefined || element.deadline > deadline) return 0;
-    return 1 + this.countUntil(deadline, 2 * index + 1) + this.countUntil(deadline, 2 * index + 2);
+    return 1 + this.countDueBy(deadline, 2 * index + 1) + this.countDueBy(deadline, 2 * index + 2);
   }
 
-  /** The element with the latest deadline. It is a leaf, so half of the elements are looked at. */
+  /** The element with the latest deadline. It is a leaf, so only half of the elements are examined. */
   public latest(): Element | undefined {
     let latest: Element | undefined;
     for (let index = this.elements.length >> 1; index < this.elements.length; index += 1) {
--- a/packages/core/src/gate/gate-contract.ts
+++ b/packages/core/src/gate/gate-contract.ts
@@ -4,12 +4,12 @@
 import type { Refusal } from '../messages/outcome.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 
-/** A request that asks to run at the local upstream. */
+/** A request to be admitted to the local upstream. */
 export interface GateRequest {
   readonly executionId: number;
   readonly service: string;
   readonly tenant: string;
-  /** Monotonic time by which the answer is due. */
+  /** Monotonic time by which the response is due. */
   readonly deadline: number;
 }
 
@@ -26,42 +26,53 @@
 
 export type GateDecision = StartDecision | RefuseDecision;
 
+/** How a started request ended. */
 export const ExecutionEnd = {
   Answered: 'answered',
   Cancelled: 'cancelled',
   Failed: 'failed',
+  /** No connection to the upstream could be established. */
   NotReached: 'not-reached',
 } as const;
 export type ExecutionEnd = (typeof ExecutionEnd)[keyof typeof ExecutionEnd];
 
-/** What a tenant holds at the gate. */
-export interface TenantOccupation {
+/** Number of requests that a tenant has at the gate. */
+export interface TenantUsage {
   readonly tenant: string;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Decides what runs at the local upstream. It sees every request, so its in-flight count is exact. */
+/**
+ * Admission control in front of the local upstream. Every request passes through the gate, so its
+ * in-flight count is exact. Methods return decisions on the given and on previously queued requests.
+ */
 export interface GateContract {
   configure(configuration: ServiceConfiguration, now: ClockReading): readonly GateDecision[];
   announce(announcement: UpstreamAnnouncement, now: ClockReading): readonly GateDecision[];
-  setDraining(draining: boolean, now: ClockReading): readonly GateDecision[];
-  leave(now: ClockReading): readonly GateDecision[];
-  offer(request: GateRequest, now: ClockReading): readonly GateDecision[];
-  /** Frees the slot of a started request. */
-  finished(executionId: number, end: ExecutionEnd, now: ClockReading): readonly GateDecision[];
-  /** Removes a waiting request. Returns true if it was waiting; a started one is left to `finished`. */
+  setDraining(isDraining: boolean, now: ClockReading): readonly GateDecision[];
+  /** Handles the departure of the upstream. */
+  onUpstreamLeft(now: ClockReading): readonly GateDecision[];
+  /** Asks for admission: the request is started, queued or refused. */
+  submit(request: GateRequest, now: ClockReading): readonly GateDecision[];
+  /** Frees the slot of a started request that has ended. */
+  onFinished(executionId: number, end: ExecutionEnd, now: ClockReading): readonly GateDecision[];
+  /**
+   * Removes a request from the queue. Returns false if it is not queued; started ones end by
+   * `onFinished`.
+   */
   cancelWaiting(executionId: number): boolean;
-  polled(
-    healthy: boolean,
+  /** Handles the result of a poll; `inFlight` is undefined if the upstream does not report it. */
+  onPolled(
+    isHealthy: boolean,
     inFlight: number | undefined,
     now: ClockReading,
   ): readonly GateDecision[];
   tick(now: ClockReading): readonly GateDecision[];
-  /** Undefined while no upstream has announced itself. */
-  load(now: ClockReading): LoadReport | undefined;
-  /** Tenants that run or wait. */
-  tenantUse(): readonly TenantOccupation[];
-  /** Requests that run or wait. */
-  readonly occupied: number;
+  /** Current load of the upstream; undefined while none is announced. */
+  loadReport(now: ClockReading): LoadReport | undefined;
+  /** Usage of the tenants that have running or waiting requests. */
+  tenantUsage(): readonly TenantUsage[];
+  /** Number of running and waiting requests. */
+  readonly requestCount: number;
 }
--- a/packages/core/src/gate/gate-queue.ts
+++ b/packages/core/src/gate/gate-queue.ts
@@ -9,46 +9,50 @@
   heapIndex: number;
 }
 
-/** Whether the queue can take another request of a tenant. */
-export type QueueRoom =
+/** Result of checking whether the queue can accept a request of a tenant. */
+export type QueueAdmission =
   | { readonly kind: 'room' }
-  /** This request of a tenant above its share has to go. */
+  /** The queue is full; `victim`, a request of a tenant above its share, has to be evicted. */
   | { readonly kind: 'evict'; readonly victim: WaitingRequest }
   | { readonly kind: 'full' }
+  /** The queue is full and the tenant already has its share of it. */
   | { readonly kind: 'over-share' };
 
-const room: QueueRoom = { kind: 'room' };
-const full: QueueRoom = { kind: 'full' };
-const overShare: QueueRoom = { kind: 'over-share' };
+const hasRoom: QueueAdmission = { kind: 'room' };
+const full: QueueAdmission = { kind: 'full' };
+const overShare: QueueAdmission = { kind: 'over-share' };
 
-/** Waiting requests: one heap by deadline for each tenant; tenants below their slot share go first. */
+/**
+ * Waiting requests, in one heap by deadline for each tenant. Tenants that run less than their share of
+ * the slots have priority.
+ */
 export class GateQueue {
-  private readonly byExecution = new Map<number, WaitingRequest>();
-  /** Tenants with waiting requests; at most as many as the queue is long. */
+  private readonly byExecutionId = new Map<number, WaitingRequest>();
+  /** Accounts with waiting requests, at most as many as there are requests in the queue. */
   private readonly waitingAccounts: TenantAccount[] = [];
 
   public constructor(private readonly shares: TenantShares) {}
 
   public get size(): number {
-    return this.byExecution.size;
+    return this.byExecutionId.size;
   }
 
   public has(executionId: number): boolean {
-    return this.byExecution.has(executionId);
+    return this.byExecutionId.has(executionId);
   }
 
   public add(request: GateRequest, account: TenantAccount): void {
     const waiting = { account, deadline: request.deadline, heapIndex: 0, request };
     if (account.waiting.size === 0) this.waitingAccounts.push(account);
     account.waiting.push(waiting);
-    this.byExecution.set(request.executionId, waiting);
+    this.byExecutionId.set(request.executionId, waiting);
   }
 
-  /** Removes a request; the caller closes its tenant's account. */
+  /** Removes a request if it is queued. The caller must then close its tenant's account. */
   public remove(executionId: number): WaitingRequest | undefined {
-    const waiting = this.byExecution.get(executionId);
+    const waiting = this.byExecutionId.get(executionId);
     if (waiting === undefined) return undefined;
-    this.byExecution.delete(executionId);
+    this.byExecutionId.delete(executionId);
     const account = waiting.account;
     account.waiting.remove(waiting);
     if (account.waiting.size === 0) {
@@ -57,7 +61,7 @@
     return waiting;
   }
 
-  /** The request to start next under the limit: of tenants below their share, then by deadline. */
+  /** The request to start next: tenants below their share of `limit` first, then by deadline. */
   public next(limit: number): WaitingRequest | undefined {
     let best: WaitingRequest | undefined;
     let bestIsBelowShare = false;
@@ -89,37 +93,40 @@
     return this.waitingAccounts[0]?.waiting.peek();
   }
 
-  /** Number of waiting requests that go before a new one of this tenant with this deadline. */
-  public ahead(account: TenantAccount, deadline: number, limit: number): number {
+  /** Number of waiting requests that precede a new one of this tenant with this deadline. */
+  public countAhead(account: TenantAccount, deadline: number, limit: number): number {
     const isBelowShare = this.shares.isBelowSlotShare(account, limit);
-    let ahead = 0;
+    let count = 0;
     for (const other of this.waitingAccounts) {
       const isOtherBelowShare = this.shares.isBelowSlotShare(other, limit);
       if (isBelowShare && !isOtherBelowShare) continue;
-      ahead +=
+      count +=
         isOtherBelowShare && !isBelowShare
           ? other.waiting.size
-          : other.waiting.countUntil(deadline);
+          : other.waiting.countDueBy(deadline);
     }
-    return ahead;
+    return count;
   }
 
-  /** Whether a request of this tenant fits into a queue of the given capacity. */
-  public roomFor(account: TenantAccount, capacity: number): QueueRoom {
-    if (this.size < capacity) return room;
+  /** Whether a request of this tenant can be added to a queue of the given capacity. */
+  public checkAdmission(account: TenantAccount, capacity: number): QueueAdmission {
+    if (this.size < capacity) return hasRoom;
     const hasOthersWaiting = this.waitingAccounts.some((other) => other !== account);
     if (!hasOthersWaiting) return full;
     if (account.waiting.size >= this.queueShare(account, capacity)) return overShare;
-    const victim = this.mostOverShare(capacity)?.waiting.latest();
+    const victim = this.tenantMostOverShare(capacity)?.waiting.latest();
     return victim === undefined ? full : { kind: 'evict', victim };
   }
 
-  /** At least 1, so that a tenant among many can wait at all. */
+  /**
+   * The tenant's share of the queue; at least 1, so that each of many tenants can still queue a
+   * request.
+   */
   private queueShare(account: TenantAccount, capacity: number): number {
     return Math.max(1, this.shares.shareOf(account, capacity));
   }
 
-  private mostOverShare(capacity: number): TenantAccount | undefined {
+  private tenantMostOverShare(capacity: number): TenantAccount | undefined {
     let most: TenantAccount | undefined;
     let mostRatio = 1;
     for (const account of this.waitingAccounts) {
--- a/packages/core/src/gate/gate-settings.ts
+++ b/packages/core/src/gate/gate-settings.ts
@@ -4,49 +4,52 @@
 
 /** Settings of a gate. */
 export interface GateSettings {
-  /** Length of the queue as a multiple of the announced slots. */
+  /** Capacity of the queue per announced slot, unless the configuration of the service sets it. */
   readonly queuePerSlot: number;
-  /** Share of the slots that a cold upstream starts with, 0 to 1. */
+  /** Share of the slots that is open when slow start begins, 0 to 1. */
   readonly rampStartShare: number;
-  /** Answers per slot that complete a ramp without any time passing. */
+  /** Answers per slot that complete slow start without any time passing. */
   readonly rampAnswersPerSlot: number;
   /** Weight of the newest sample in the smoothed latencies, 0 to 1. */
   readonly latencySmoothing: number;
-  /** Answers over which the shortest service time is remembered. */
+  /** Window of the minimum service time, in answers. */
   readonly shortestServiceTimeSamples: number;
-  /** Latency that a failure counts as, at most; a caller with a long deadline must not set it. */
+  /**
+   * Upper bound of the latency recorded for a failure, so that a caller's long deadline does not set
+   * it.
+   */
   readonly failureLatencyMilliseconds: number;
-  /** Refused connections in a row after which the upstream counts as down. */
+  /** Consecutive refused connections after which the upstream counts as down. */
   readonly refusedConnectionsUntilDown: number;
-  /** Time between two requests that try whether an upstream that is down answers again. */
+  /** Minimum time between two trial requests to an upstream that is down. */
   readonly trialIntervalMilliseconds: number;
-  /** An unhealthy poll is ignored when the upstream answered a request this recently. */
-  readonly answerEvidenceMilliseconds: number;
-  /** Time after which a polled load is no longer believed. */
-  readonly polledLoadMilliseconds: number;
-  /** Largest share of the slots that a polled load can take away, 0 to 1. */
+  /** An unhealthy poll is ignored if the upstream answered a request within this time. */
+  readonly recentAnswerMilliseconds: number;
+  /** Time for which a polled load is valid. */
+  readonly polledLoadValidMilliseconds: number;
+  /** Maximum share of the slots that a polled load can withhold, 0 to 1. */
   readonly polledLoadMaximumShare: number;
   readonly minimumRetryAfterMilliseconds: number;
   readonly maximumRetryAfterMilliseconds: number;
-  /** Retry-after where the gate can't tell when it will serve again. */
+  /** Retry-after for refusals where the gate can't estimate when it will serve again. */
   readonly unknownRetryAfterMilliseconds: number;
   readonly concurrencyLimit: ConcurrencyLimitSettings;
 }
 
 /**
- * Defaults of a gate.
- * A load endpoint that lies must not take an upstream out of service, so a polled load takes away
- * half of the slots at most; real foreign load also shows in the latency.
+ * Defaults of {@link GateSettings}.
+ * A polled load withholds at most half of the slots, so that a wrong load endpoint can't take an
+ * upstream out of service. Real load from elsewhere also shows in the latency.
  */
 export const defaultGateSettings: GateSettings = {
-  answerEvidenceMilliseconds: 1_000,
+  recentAnswerMilliseconds: 1_000,
   concurrencyLimit: defaultConcurrencyLimitSettings,
   failureLatencyMilliseconds: serviceDefaults.defaultDeadlineMilliseconds,
   latencySmoothing: 0.1,
   maximumRetryAfterMilliseconds: 10_000,
   minimumRetryAfterMilliseconds: 10,
   polledLoadMaximumShare: 0.5,
-  polledLoadMilliseconds: 3_000,
+  polledLoadValidMilliseconds: 3_000,
   queuePerSlot: 2,
   rampAnswersPerSlot: 20,
   rampStartShare: 0.2,
--- a/packages/core/src/gate/gate.ts
+++ b/packages/core/src/gate/gate.ts
@@ -10,14 +10,14 @@
   GateContract,
   GateDecision,
   GateRequest,
-  TenantOccupation,
+  TenantUsage,
 } from './gate-contract.js';
 import { GateQueue } from './gate-queue.js';
 import type { WaitingRequest } from './gate-queue.js';
 import { defaultGateSettings } from './gate-settings.js';
 import type { GateSettings } from './gate-settings.js';
 import { GradientConcurrencyLimit } from './gradient-concurrency-limit.js';
-import { RefusalComposer } from './refusal-composer.js';
+import { RefusalBuilder } from './refusal-builder.js';
 import { TenantShares } from './tenant-shares.js';
 import type { TenantAccount } from './tenant-shares.js';
 import { UpstreamCapacity } from './upstream-capacity.js';
@@ -30,18 +30,18 @@
 const noDecisions: readonly GateDecision[] = [];
 
 /**
- * Decides what runs at the local upstream.
- * Draining is the node's fact and outlives announcements and departures of the upstream. Whoever
- * ends executions passes `failed` for answers that stand for a failure (5xx) as well.
+ * Admission control in front of the local upstream: starts, queues or refuses requests.
+ * Draining is a state of the node; it is not reset when an upstream announces itself or departs. For a
+ * response that signals a failure (5xx), callers of `onFinished` pass `failed`.
  */
 export class Gate implements GateContract {
   private readonly running = new Map<number, RunningRequest>();
   private readonly shares = new TenantShares();
   private readonly queue = new GateQueue(this.shares);
   private readonly capacity: UpstreamCapacity;
-  private readonly composer: RefusalComposer;
-  private draining = false;
-  private queueLength: number | undefined;
+  private readonly refusalBuilder: RefusalBuilder;
+  private isDraining = false;
+  private configuredQueueLength: number | undefined;
   private maximumTenantInFlight = Number.POSITIVE_INFINITY;
 
   public constructor(
@@ -49,14 +49,14 @@
     concurrency: ConcurrencyLimit = new GradientConcurrencyLimit(settings.concurrencyLimit),
   ) {
     this.capacity = new UpstreamCapacity(settings, concurrency);
-    this.composer = new RefusalComposer(settings, this.capacity);
+    this.refusalBuilder = new RefusalBuilder(settings, this.capacity);
   }
 
-  public tenantUse(): readonly TenantOccupation[] {
-    return this.shares.uses();
+  public tenantUsage(): readonly TenantUsage[] {
+    return this.shares.usage();
   }
 
-  public get occupied(): number {
+  public get requestCount(): number {
     return this.running.size + this.queue.size;
   }
 
@@ -65,8 +65,8 @@
     now: ClockReading,
   ): readonly GateDecision[] {
     this.shares.configure(configuration.tenants);
-    this.capacity.configureRamp(configuration.rampMilliseconds);
-    this.queueLength = configuration.queueLength;
+    this.capacity.configureSlowStart(configuration.rampMilliseconds);
+    this.configuredQueueLength = configuration.queueLength;
     this.maximumTenantInFlight = configuration.maximumTenantInFlight ?? Number.POSITIVE_INFINITY;
     return this.startWaiting(now.monotonic);
   }
@@ -74,32 +74,32 @@
   public announce(announcement: UpstreamAnnouncement, now: ClockReading): readonly GateDecision[] {
     const decisions: GateDecision[] = [];
     if (this.capacity.isNew(announcement)) {
-      this.refuseWaiting(RefusalReason.NotServingService, now.monotonic, decisions);
+      this.refuseAllWaiting(RefusalReason.NotServingService, now.monotonic, decisions);
     }
     this.capacity.announce(announcement, now.monotonic);
     return this.startWaiting(now.monotonic, decisions);
   }
 
-  public setDraining(draining: boolean, now: ClockReading): readonly GateDecision[] {
-    this.draining = draining;
-    if (!draining) return noDecisions;
-    return this.refuseWaiting(RefusalReason.Draining, now.monotonic);
+  public setDraining(isDraining: boolean, now: ClockReading): readonly GateDecision[] {
+    this.isDraining = isDraining;
+    if (!isDraining) return noDecisions;
+    return this.refuseAllWaiting(RefusalReason.Draining, now.monotonic);
   }
 
-  public leave(now: ClockReading): readonly GateDecision[] {
-    const decisions = this.refuseWaiting(RefusalReason.NotServingService, now.monotonic);
-    this.capacity.leave();
+  public onUpstreamLeft(now: ClockReading): readonly GateDecision[] {
+    const decisions = this.refuseAllWaiting(RefusalReason.NotServingService, now.monotonic);
+    this.capacity.onUpstreamLeft();
     return decisions;
   }
 
-  public offer(request: GateRequest, now: ClockReading): readonly GateDecision[] {
+  public submit(request: GateRequest, now: ClockReading): readonly GateDecision[] {
     const time = now.monotonic;
     assertInvariant(
       !this.running.has(request.executionId) && !this.queue.has(request.executionId),
-      `execution ${request.executionId} was offered twice`,
+      `execution ${request.executionId} was submitted twice`,
     );
-    const reason = this.closedReason(request, time);
-    if (reason !== undefined) return [this.refusal(request.executionId, reason, time)];
+    const reason = this.unconditionalRefusalReason(request, time);
+    if (reason !== undefined) return [this.refuse(request.executionId, reason, time)];
     const decisions = this.startWaiting(time);
     const account = this.shares.open(request.tenant);
     this.admit(request, account, time, decisions);
@@ -107,19 +107,19 @@
     return decisions;
   }
 
-  public finished(
+  public onFinished(
     executionId: number,
     end: ExecutionEnd,
     now: ClockReading,
   ): readonly GateDecision[] {
     const time = now.monotonic;
-    const finished = this.running.get(executionId);
-    if (finished === undefined) return noDecisions;
-    this.capacity.ended({ ...finished, executionId }, end, time);
+    const request = this.running.get(executionId);
+    if (request === undefined) return noDecisions;
+    this.capacity.onEnded({ ...request, executionId }, end, time);
     this.running.delete(executionId);
-    finished.account.running -= 1;
-    this.shares.close(finished.account);
-    if (this.capacity.health.isDown) return this.refuseWaiting(RefusalReason.UpstreamDown, time);
+    request.account.running -= 1;
+    this.shares.close(request.account);
+    if (this.capacity.health.isDown) return this.refuseAllWaiting(RefusalReason.UpstreamDown, time);
     return this.startWaiting(time);
   }
 
@@ -130,14 +130,14 @@
     return true;
   }
 
-  public polled(
-    healthy: boolean,
+  public onPolled(
+    isHealthy: boolean,
     inFlight: number | undefined,
     now: ClockReading,
   ): readonly GateDecision[] {
     const time = now.monotonic;
-    this.capacity.polled(healthy, inFlight, time);
-    if (this.capacity.health.isDown) return this.refuseWaiting(RefusalReason.UpstreamDown, time);
+    this.capacity.onPolled(isHealthy, inFlight, time);
+    if (this.capacity.health.isDown) return this.refuseAllWaiting(RefusalReason.UpstreamDown, time);
     return this.startWaiting(time);
   }
 
@@ -145,27 +145,27 @@
     if (this.queue.size === 0) return noDecisions;
     const time = now.monotonic;
     const decisions = this.startWaiting(time);
-    const latestStart = time + this.capacity.estimate.shortestMilliseconds;
+    const earliestFinish = time + this.capacity.serviceTimeEstimate.shortestMilliseconds;
     for (;;) {
-      const late = this.queue.dueBy(latestStart);
-      if (late === undefined) return decisions;
-      this.refuseOne(late, RefusalReason.NoSlot, time, decisions);
+      const waiting = this.queue.dueBy(earliestFinish);
+      if (waiting === undefined) return decisions;
+      this.refuseWaitingRequest(waiting, RefusalReason.NoSlot, time, decisions);
     }
   }
 
-  public load(now: ClockReading): LoadReport | undefined {
-    return this.composer.loadReport(this.queue.size, this.draining, now.monotonic);
+  public loadReport(now: ClockReading): LoadReport | undefined {
+    return this.refusalBuilder.buildLoadReport(this.queue.size, this.isDraining, now.monotonic);
   }
 
-  /** Why no request of this kind starts or waits now, whatever the load. */
-  private closedReason(request: GateRequest, now: number): RefusalReason | undefined {
+  /** Reason to refuse a request regardless of the load, undefined if there is none. */
+  private unconditionalRefusalReason(request: GateRequest, now: number): RefusalReason | undefined {
     if (request.service !== this.capacity.service) return RefusalReason.NotServingService;
-    if (this.draining) return RefusalReason.Draining;
-    if (this.capacity.health.isDown && !this.canTry(now)) return RefusalReason.UpstreamDown;
+    if (this.isDraining) return RefusalReason.Draining;
+    if (this.capacity.health.isDown && !this.canStartTrial(now)) return RefusalReason.UpstreamDown;
     return request.deadline <= now ? RefusalReason.DeadlineTooShort : undefined;
   }
 
-  private canTry(now: number): boolean {
+  private canStartTrial(now: number): boolean {
     return this.capacity.health.isTrialDue(now) && this.running.size < this.capacity.slots;
   }
 
@@ -177,16 +177,16 @@
   ): void {
     if (account.running + account.waiting.size >= this.maximumTenantInFlight) {
       const wait = this.capacity.serviceTimeMilliseconds(now);
-      decisions.push(this.refusal(request.executionId, RefusalReason.TenantLimit, now, wait));
+      decisions.push(this.refuse(request.executionId, RefusalReason.TenantLimit, now, wait));
       return;
     }
     if (this.capacity.health.isDown) {
-      this.capacity.health.trialStarted(request.executionId);
+      this.capacity.health.onTrialStarted(request.executionId);
       this.start(request, account, now, decisions);
       return;
     }
     if (this.isTooLate(request.deadline, now)) {
-      decisions.push(this.refusal(request.executionId, RefusalReason.DeadlineTooShort, now));
+      decisions.push(this.refuse(request.executionId, RefusalReason.DeadlineTooShort, now));
     } else if (this.running.size < this.capacity.limit(now)) {
       this.start(request, account, now, decisions);
     } else {
@@ -194,9 +194,13 @@
     }
   }
 
-  /** An idle upstream is always asked, because only an answer corrects an estimate that is too long. */
+  /**
+   * Whether a request can no longer finish by its deadline. The estimate is ignored while the upstream
+   * is idle, because only a new answer can correct an estimate that is too long.
+   */
   private isTooLate(deadline: number, now: number): boolean {
-    const needed = this.running.size === 0 ? 0 : this.capacity.estimate.shortestMilliseconds;
+    const needed =
+      this.running.size === 0 ? 0 : this.capacity.serviceTimeEstimate.shortestMilliseconds;
     return deadline <= now || deadline - now < needed;
   }
 
@@ -208,30 +212,30 @@
   ): void {
     const limit = this.capacity.limit(now);
     const serviceTime = this.capacity.serviceTimeMilliseconds(now);
-    const ahead = this.queue.ahead(account, request.deadline, limit);
+    const ahead = this.queue.countAhead(account, request.deadline, limit);
     const wait = (serviceTime * (ahead + 1)) / limit;
     if (request.deadline - now < wait + serviceTime) {
-      decisions.push(this.refusal(request.executionId, this.busyReason('no-slot', now), now, wait));
+      decisions.push(this.refuse(request.executionId, this.busyReason('no-slot', now), now, wait));
       return;
     }
-    const room = this.queue.roomFor(account, this.queueCapacity);
+    const room = this.queue.checkAdmission(account, this.queueCapacity);
     if (room.kind === 'full' || room.kind === 'over-share') {
       decisions.push(this.queueRefusal(request, account, room.kind, now));
       return;
     }
     if (room.kind === 'evict') {
-      this.refuseOne(room.victim, RefusalReason.TenantOverShare, now, decisions);
+      this.refuseWaitingRequest(room.victim, RefusalReason.TenantOverShare, now, decisions);
     }
     this.queue.add(request, account);
   }
 
   private get queueCapacity(): number {
-    return this.queueLength ?? this.capacity.slots * this.settings.queuePerSlot;
+    return this.configuredQueueLength ?? this.capacity.slots * this.settings.queuePerSlot;
   }
 
-  /** While the ramp holds slots back, a lack of room comes from the cold start. */
+  /** During slow start, a lack of capacity is reported as `warming-up`. */
   private busyReason(reason: 'no-slot' | 'queue-full', now: number): RefusalReason {
-    return this.capacity.isRamping(now) ? RefusalReason.WarmingUp : reason;
+    return this.capacity.isInSlowStart(now) ? RefusalReason.WarmingUp : reason;
   }
 
   private queueRefusal(
@@ -241,12 +245,12 @@
     now: number,
   ): GateDecision {
     if (kind === 'full') {
-      return this.refusal(request.executionId, this.busyReason('queue-full', now), now);
+      return this.refuse(request.executionId, this.busyReason('queue-full', now), now);
     }
     const limit = this.capacity.limit(now);
     const share = Math.max(1, this.shares.shareOf(account, limit));
     const wait = (this.capacity.serviceTimeMilliseconds(now) * (account.waiting.size + 1)) / share;
-    return this.refusal(request.executionId, RefusalReason.TenantOverShare, now, wait);
+    return this.refuse(request.executionId, RefusalReason.TenantOverShare, now, wait);
   }
 
   private start(
@@ -255,7 +259,7 @@
     now: number,
     decisions: GateDecision[],
   ): void {
-    const started = this.capacity.started(request.deadline, now);
+    const started = this.capacity.onStarted(request.deadline, now);
     this.running.set(request.executionId, { account, ...started });
     account.running += 1;
     decisions.push({ executionId: request.executionId, kind: 'start' });
@@ -268,7 +272,7 @@
       const waiting = this.queue.next(limit);
       if (waiting === undefined) break;
       if (this.isTooLate(waiting.deadline, now)) {
-        this.refuseOne(waiting, RefusalReason.NoSlot, now, decisions);
+        this.refuseWaitingRequest(waiting, RefusalReason.NoSlot, now, decisions);
         continue;
       }
       this.queue.remove(waiting.request.executionId);
@@ -277,18 +281,18 @@
     return decisions;
   }
 
-  private refuseWaiting(
+  private refuseAllWaiting(
     reason: RefusalReason,
     now: number,
     decisions: GateDecision[] = [],
   ): readonly GateDecision[] {
     for (let waiting = this.queue.any(); waiting !== undefined; waiting = this.queue.any()) {
-      this.refuseOne(waiting, reason, now, decisions);
+      this.refuseWaitingRequest(waiting, reason, now, decisions);
     }
     return decisions;
   }
 
-  private refuseOne(
+  private refuseWaitingRequest(
     waiting: WaitingRequest,
     reason: RefusalReason,
     now: number,
@@ -296,20 +300,24 @@
   ): void {
     this.queue.remove(waiting.request.executionId);
     this.shares.close(waiting.account);
-    decisions.push(this.refusal(waiting.request.executionId, reason, now));
+    decisions.push(this.refuse(waiting.request.executionId, reason, now));
   }
 
-  private refusal(
+  private refuse(
     executionId: number,
     reason: RefusalReason,
     now: number,
     wait = this.expectedWait(now),
   ): GateDecision {
-    const load = this.composer.loadReport(this.queue.size, this.draining, now);
-    return { executionId, kind: 'refuse', refusal: this.composer.refusal(reason, wait, load, now) };
+    const load = this.refusalBuilder.buildLoadReport(this.queue.size, this.isDraining, now);
+    return {
+      executionId,
+      kind: 'refuse',
+      refusal: this.refusalBuilder.buildRefusal(reason, wait, load, now),
+    };
   }
 
-  /** Time until a request behind the whole queue would start. */
+  /** Expected time until a request at the end of the queue would start. */
   private expectedWait(now: number): number {
     const serviceTime = this.capacity.serviceTimeMilliseconds(now);
     return (serviceTime * (this.queue.size + 1)) / this.capacity.limit(now);
--- a/packages/core/src/gate/polled-load.ts
+++ b/packages/core/src/gate/polled-load.ts
@@ -1,35 +1,38 @@
 /**
- * Load of the upstream that doesn't come through the gate, from polls of its load endpoint.
- * A report may lag, so it is compared with the most that the gate has run over two poll intervals.
+ * Load of the upstream from requests that bypass the gate, from polls of its load endpoint. A polled
+ * value may lag, so it is compared with the peak of running requests over the last two poll intervals.
  */
 export class PolledLoad {
-  private foreign = 0;
+  private otherRequests = 0;
   private polledAt = Number.NEGATIVE_INFINITY;
-  private peakNow = 0;
-  private peakBefore = 0;
+  private currentPeak = 0;
+  private previousPeak = 0;
 
-  /** A report is believed for `freshMilliseconds` and takes away `maximumShare` of the slots at most. */
+  /**
+   * @param validMilliseconds - Time for which a polled value is valid.
+   * @param maximumShare - Maximum share of the slots that a polled value can withhold, 0 to 1.
+   */
   public constructor(
-    private readonly freshMilliseconds: number,
+    private readonly validMilliseconds: number,
     private readonly maximumShare: number,
   ) {}
 
-  /** The gate runs this many requests now. */
-  public running(count: number): void {
-    if (count > this.peakNow) this.peakNow = count;
+  /** Records the number of requests that the gate runs now. */
+  public onRunningChanged(count: number): void {
+    if (count > this.currentPeak) this.currentPeak = count;
   }
 
-  public polled(inFlight: number | undefined, running: number, now: number): void {
-    const peak = Math.max(this.peakNow, this.peakBefore, running);
-    this.peakBefore = this.peakNow;
-    this.peakNow = running;
-    this.foreign = inFlight === undefined ? 0 : Math.max(0, inFlight - peak);
+  public onPolled(inFlight: number | undefined, running: number, now: number): void {
+    const peak = Math.max(this.currentPeak, this.previousPeak, running);
+    this.previousPeak = this.currentPeak;
+    this.currentPeak = running;
+    this.otherRequests = inFlight === undefined ? 0 : Math.max(0, inFlight - peak);
     this.polledAt = now;
   }
 
-  /** Slots that others seem to take. */
-  public slotsTaken(slots: number, now: number): number {
-    if (this.foreign === 0 || now - this.polledAt > this.freshMilliseconds) return 0;
-    return Math.min(this.foreign, Math.floor(slots * this.maximumShare));
+  /** Estimated number of slots taken by requests that bypass the gate. */
+  public slotsTakenByOthers(slots: number, now: number): number {
+    if (this.otherRequests === 0 || now - this.polledAt > this.validMilliseconds) return 0;
+    return Math.min(this.otherRequests, Math.floor(slots * this.maximumShare));
   }
 }
--- a/packages/core/src/gate/service-time-estimate.ts
+++ b/packages/core/src/gate/service-time-estimate.ts
@@ -1,51 +1,57 @@
-/** Estimates how long the upstream takes for a request. */
+/** Estimates the service time of the upstream. */
 export class ServiceTimeEstimate {
   private answeredMean: number | undefined;
   private reportedMean: number | undefined;
-  private shortestNow = Number.POSITIVE_INFINITY;
-  private shortestBefore = Number.POSITIVE_INFINITY;
-  private samples = 0;
+  private currentShortest = Number.POSITIVE_INFINITY;
+  private previousShortest = Number.POSITIVE_INFINITY;
+  private sampleCount = 0;
 
-  /** `smoothing` is the weight of the newest sample; `shortestSamples` the memory of the minimum. */
+  /**
+   * @param smoothing - Weight of the newest sample in the means, 0 to 1.
+   * @param shortestWindowSamples - Window of the minimum, in answers.
+   */
   public constructor(
     private readonly smoothing: number,
-    private readonly shortestSamples: number,
+    private readonly shortestWindowSamples: number,
   ) {}
 
-  /** Smoothed time of answered requests; 0 while none is known. */
+  /** Exponentially weighted mean of answered requests; 0 while there is none. */
   public get meanMilliseconds(): number {
     return this.answeredMean ?? 0;
   }
 
-  /** Shortest time of the last answers: a request with less time left cannot finish. */
+  /**
+   * Minimum over the last one to two windows; a request with less time left is not expected to
+   * finish.
+   */
   public get shortestMilliseconds(): number {
-    const shortest = Math.min(this.shortestNow, this.shortestBefore);
+    const shortest = Math.min(this.currentShortest, this.previousShortest);
     return shortest === Number.POSITIVE_INFINITY ? 0 : shortest;
   }
 
-  /** Smoothed time for load reports, in which failures count as the worst latency. */
+  /** Exponentially weighted mean for load reports, in which failures count as the worst latency. */
   public get reportedMilliseconds(): number {
     return this.reportedMean ?? 0;
   }
 
-  public answered(milliseconds: number): void {
+  public onAnswered(milliseconds: number): void {
     this.answeredMean = this.smoothed(this.answeredMean, milliseconds);
     this.reportedMean = this.smoothed(this.reportedMean, milliseconds);
-    this.shortestNow = Math.min(this.shortestNow, milliseconds);
-    this.samples += 1;
-    if (this.samples < this.shortestSamples) return;
-    this.samples = 0;
-    this.shortestBefore = this.shortestNow;
-    this.shortestNow = Number.POSITIVE_INFINITY;
+    this.currentShortest = Math.min(this.currentShortest, milliseconds);
+    this.sampleCount += 1;
+    if (this.sampleCount < this.shortestWindowSamples) return;
+    this.sampleCount = 0;
+    this.previousShortest = this.currentShortest;
+    this.currentShortest = Number.POSITIVE_INFINITY;
   }
 
-  /** A fast failure must not look like a short latency, so the caller passes the worst one. */
-  public failed(worstMilliseconds: number): void {
+  /** Records a failure as the worst latency, so that fast failures don't appear as short latencies. */
+  public onFailed(worstMilliseconds: number): void {
     this.reportedMean = this.smoothed(this.reportedMean, worstMilliseconds);
   }
 
-  /** The request would have taken at least this long; only news if that is longer than the mean. */
-  public cancelled(elapsedMilliseconds: number): void {
+  /** Records a cancelled request: a lower bound of its time, used only where it exceeds the mean. */
+  public onCancelled(elapsedMilliseconds: number): void {
     if (elapsedMilliseconds > this.meanMilliseconds) {
       this.answeredMean = this.smoothed(this.answeredMean, elapsedMilliseconds);
     }
@@ -54,18 +60,18 @@
     }
   }
 
-  /** Forgets what load reports say; the next sample starts anew. */
-  public forgetReported(): void {
+  /** Discards the mean for load reports. */
+  public resetReported(): void {
     this.reportedMean = undefined;
   }
 
-  /** Forgets everything; another upstream has announced itself. */
+  /** Discards all samples, for a new upstream. */
   public reset(): void {
     this.answeredMean = undefined;
     this.reportedMean = undefined;
-    this.shortestNow = Number.POSITIVE_INFINITY;
-    this.shortestBefore = Number.POSITIVE_INFINITY;
-    this.samples = 0;
+    this.currentShortest = Number.POSITIVE_INFINITY;
+    this.previousShortest = Number.POSITIVE_INFINITY;
+    this.sampleCount = 0;
   }
 
   private smoothed(mean: number | undefined, sample: number): number {
--- a/packages/core/src/gate/tenant-shares.ts
+++ b/packages/core/src/gate/tenant-shares.ts
@@ -1,9 +1,9 @@
 import type { TenantShare } from '../messages/service-configuration.js';
-import type { TenantOccupation } from './gate-contract.js';
+import type { TenantUsage } from './gate-contract.js';
 import { DeadlineHeap } from './deadline-heap.js';
 import type { WaitingRequest } from './gate-queue.js';
 
-/** What a tenant holds at the gate. */
+/** Running and waiting requests of a tenant. */
 export interface TenantAccount {
   readonly tenant: string;
   weight: number;
@@ -14,16 +14,16 @@
 const defaultWeight = 1;
 
 /**
- * Accounts of the tenants that run or wait; the share of a tenant is relative to these, so the
- * share of an idle tenant is lent to the others. Tenant names come from callers, so accounts of
- * idle tenants are dropped.
+ * Accounts of the active tenants, which have running or waiting requests. Shares are relative to the
+ * total weight of active tenants, so the share of an idle tenant is available to the others. Tenant
+ * names come from callers, so accounts of idle tenants are removed to bound the memory.
  */
 export class TenantShares {
   private readonly accounts = new Map<string, TenantAccount>();
   private weights = new Map<string, number>();
   private totalWeight = 0;
 
-  /** Replaces the declared weights. */
+  /** Replaces the configured weights. */
   public configure(tenants: readonly TenantShare[]): void {
     this.weights = new Map(tenants.map((share) => [share.tenant, share.weight]));
     this.totalWeight = 0;
@@ -33,7 +33,10 @@
     }
   }
 
-  /** The account of a tenant, opened if need be; `close` it when nothing was put into it. */
+  /**
+   * Returns the account of a tenant, created if necessary; `close` removes it again if it stays
+   * empty.
+   */
   public open(tenant: string): TenantAccount {
     const known = this.accounts.get(tenant);
     if (known !== undefined) return known;
@@ -44,7 +47,8 @@
     return account;
   }
 
-  public uses(): readonly TenantOccupation[] {
+  /** Usage of the active tenants. */
+  public usage(): readonly TenantUsage[] {
     return [...this.accounts.values()].map(({ running, tenant, waiting }) => ({
       running,
       tenant,
@@ -52,19 +56,19 @@
     }));
   }
 
-  /** Drops the account if its tenant neither runs nor waits. */
+  /** Removes the account if its tenant has neither running nor waiting requests. */
   public close(account: TenantAccount): void {
     if (account.running > 0 || account.waiting.size > 0) return;
     if (!this.accounts.delete(account.tenant)) return;
     this.totalWeight = this.accounts.size === 0 ? 0 : this.totalWeight - account.weight;
   }
 
-  /** The tenant's share of a quantity, in fractions of it. */
+  /** The part of `quantity` that the tenant's weight entitles it to; may be fractional. */
   public shareOf(account: TenantAccount, quantity: number): number {
     return (quantity * account.weight) / this.totalWeight;
   }
 
-  /** Whether the tenant runs less than its share of the limit. */
+  /** Whether the tenant runs fewer requests than its share of `limit`. */
   public isBelowSlotShare(account: TenantAccount, limit: number): boolean {
     return account.running < this.shareOf(account, limit);
   }
--- a/packages/core/src/gate/upstream-capacity.ts
+++ b/packages/core/src/gate/upstream-capacity.ts
@@ -1,6 +1,6 @@
 import type { UpstreamAnnouncement } from '../messages/member.js';
 import { serviceDefaults } from '../messages/service-configuration.js';
-import { ColdStartRamp } from './cold-start-ramp.js';
+import { SlowStartRamp } from './slow-start-ramp.js';
 import type { ConcurrencyLimit } from './concurrency-limit.js';
 import { ExecutionEnd } from './gate-contract.js';
 import type { GateSettings } from './gate-settings.js';
@@ -9,16 +9,17 @@
 import { UpstreamHealth } from './upstream-health.js';
 
 /**
- * An upstream that was idle for this long may have recovered since its last results; entries that avoid
- * it for them would never find out. Shunned targets get a trial as often.
+ * An upstream that was idle for this long may have recovered since its last results. If it kept
+ * reporting their latency, entries would avoid it and never find out. Ejected servers get a trial at
+ * the same interval.
  */
 const reportedLatencyValidMilliseconds = 10_000;
 
-/** A request that runs at the upstream. */
+/** A request that is running at the upstream. */
 export interface StartedRequest {
   readonly startedAt: number;
   readonly deadline: number;
-  /** Requests that ran when this one had started, itself included. */
+  /** Number of running requests when this one started, itself included. */
   readonly inFlightAtStart: number;
 }
 
@@ -27,167 +28,176 @@
   readonly executionId: number;
 }
 
-/** What the gate knows of its upstream: announcement, health, service time and concurrency. */
+/** State of the upstream: announcement, health, service time, slow start and concurrency limit. */
 export class UpstreamCapacity {
-  public readonly estimate: ServiceTimeEstimate;
+  public readonly serviceTimeEstimate: ServiceTimeEstimate;
   public readonly health: UpstreamHealth;
   private readonly polledLoad: PolledLoad;
-  private readonly ramp: ColdStartRamp;
-  private announced: UpstreamAnnouncement | undefined;
-  private running = 0;
-  /** Last time at which a request started or ended. */
-  private progressAt = 0;
+  private readonly slowStart: SlowStartRamp;
+  private announcement: UpstreamAnnouncement | undefined;
+  private runningCount = 0;
+  /** Monotonic time at which a request last started or ended. */
+  private lastProgressAt = 0;
 
   public constructor(
     private readonly settings: GateSettings,
-    private readonly concurrency: ConcurrencyLimit,
+    private readonly concurrencyLimit: ConcurrencyLimit,
   ) {
-    this.estimate = new ServiceTimeEstimate(
+    this.serviceTimeEstimate = new ServiceTimeEstimate(
       settings.latencySmoothing,
       settings.shortestServiceTimeSamples,
     );
     this.health = new UpstreamHealth(settings);
     this.polledLoad = new PolledLoad(
-      settings.polledLoadMilliseconds,
+      settings.polledLoadValidMilliseconds,
       settings.polledLoadMaximumShare,
     );
-    this.ramp = new ColdStartRamp(
+    this.slowStart = new SlowStartRamp(
       settings.rampStartShare,
       settings.rampAnswersPerSlot,
       serviceDefaults.rampMilliseconds,
     );
   }
 
-  /** The service of the announced upstream. */
+  /** Service of the announced upstream, undefined if there is none. */
   public get service(): string | undefined {
-    return this.announced?.service;
+    return this.announcement?.service;
   }
 
-  /** The announced slots. */
+  /** Announced slots, 1 while no upstream is announced. */
   public get slots(): number {
-    return this.announced?.slots ?? 1;
+    return this.announcement?.slots ?? 1;
   }
 
-  /** Requests that the upstream runs for this gate. */
+  /** Number of requests of this gate that are running at the upstream. */
   public get inFlight(): number {
-    return this.running;
+    return this.runningCount;
   }
 
-  public configureRamp(rampMilliseconds: number): void {
-    this.ramp.configure(rampMilliseconds);
+  public configureSlowStart(rampMilliseconds: number): void {
+    this.slowStart.configure(rampMilliseconds);
   }
 
-  /** Whether the announcement comes from another upstream than the last one. */
+  /** Whether the announcement is of a different upstream than the last one. */
   public isNew(announcement: UpstreamAnnouncement): boolean {
-    const last = this.announced;
+    const last = this.announcement;
     return last?.service !== announcement.service || last.address !== announcement.address;
   }
 
-  /** An upstream that was known and is up may repeat its announcement without another cold start. */
+  /** Applies an announcement. A known upstream that is up can repeat it without another slow start. */
   public announce(announcement: UpstreamAnnouncement, now: number): void {
     const isNew = this.isNew(announcement);
-    if (isNew) this.estimate.reset();
-    if (isNew || this.health.isDown) this.ramp.start(now);
-    this.concurrency.announce(announcement.slots, isNew);
-    this.health.reset();
-    this.announced = announcement;
+    if (isNew) this.serviceTimeEstimate.reset();
+    if (isNew || this.health.isDown) this.slowStart.start(now);
+    this.concurrencyLimit.setSlots(announcement.slots, isNew);
+    this.health.markUp();
+    this.announcement = announcement;
   }
 
-  public leave(): void {
-    this.announced = undefined;
+  public onUpstreamLeft(): void {
+    this.announcement = undefined;
   }
 
-  /** How many requests may run at once now: ramped, learned or free of others, the lowest. */
+  /**
+   * Maximum number of concurrent requests now: the lowest of the slow-start limit, the learned limit and
+   * the slots not taken by requests that bypass the gate; at least 1.
+   */
   public limit(now: number): number {
     const slots = this.slots;
-    const free = slots - this.polledLoad.slotsTaken(slots, now);
-    return Math.max(1, Math.min(this.ramp.limit(slots, now), this.concurrency.limit, free));
+    const free = slots - this.polledLoad.slotsTakenByOthers(slots, now);
+    return Math.max(
+      1,
+      Math.min(this.slowStart.limit(slots, now), this.concurrencyLimit.limit, free),
+    );
   }
 
-  /** Whether the cold start holds slots back. */
-  public isRamping(now: number): boolean {
-    return this.ramp.limit(this.slots, now) < this.slots;
+  /** Whether slow start currently withholds slots. */
+  public isInSlowStart(now: number): boolean {
+    return this.slowStart.limit(this.slots, now) < this.slots;
   }
 
-  public started(deadline: number, now: number): StartedRequest {
-    if (this.isReportedLatencyOld(now)) this.estimate.forgetReported();
-    this.running += 1;
-    this.progressAt = now;
-    this.polledLoad.running(this.running);
-    return { deadline, inFlightAtStart: this.running, startedAt: now };
+  public onStarted(deadline: number, now: number): StartedRequest {
+    if (this.isReportedLatencyExpired(now)) this.serviceTimeEstimate.resetReported();
+    this.runningCount += 1;
+    this.lastProgressAt = now;
+    this.polledLoad.onRunningChanged(this.runningCount);
+    return { deadline, inFlightAtStart: this.runningCount, startedAt: now };
   }
 
-  public ended(request: EndedRequest, end: ExecutionEnd, now: number): void {
+  public onEnded(request: EndedRequest, end: ExecutionEnd, now: number): void {
     this.recordEnd(request, end, now);
-    this.running -= 1;
-    this.progressAt = now;
+    this.runningCount -= 1;
+    this.lastProgressAt = now;
   }
 
-  /** Polled values can only lower the limit or take the upstream out of service. */
-  public polled(healthy: boolean, inFlight: number | undefined, now: number): void {
-    this.health.polled(healthy, now);
-    this.polledLoad.polled(inFlight, this.running, now);
+  /** Applies a poll, which can only lower the limit or take the upstream out of service. */
+  public onPolled(isHealthy: boolean, inFlight: number | undefined, now: number): void {
+    this.health.onPolled(isHealthy, now);
+    this.polledLoad.onPolled(inFlight, this.runningCount, now);
   }
 
-  /** Expected time of one request. */
+  /** Expected service time of a request. */
   public serviceTimeMilliseconds(now: number): number {
-    return Math.max(this.estimate.meanMilliseconds, this.stalledMilliseconds(now));
+    return Math.max(this.serviceTimeEstimate.meanMilliseconds, this.stalledMilliseconds(now));
   }
 
-  /** Smoothed latency as other nodes are told; 0 if nothing recent is known. */
+  /** Smoothed latency for load reports; 0 if there is no recent one. */
   public reportedLatencyMilliseconds(now: number): number {
-    if (this.isReportedLatencyOld(now)) return 0;
-    return Math.max(this.estimate.reportedMilliseconds, this.stalledMilliseconds(now));
+    if (this.isReportedLatencyExpired(now)) return 0;
+    return Math.max(this.serviceTimeEstimate.reportedMilliseconds, this.stalledMilliseconds(now));
   }
 
-  private isReportedLatencyOld(now: number): boolean {
-    return this.running === 0 && now - this.progressAt > reportedLatencyValidMilliseconds;
+  private isReportedLatencyExpired(now: number): boolean {
+    return this.runningCount === 0 && now - this.lastProgressAt > reportedLatencyValidMilliseconds;
   }
 
-  /** How long all slots have been taken without any request ending: a frozen upstream gives no samples. */
+  /**
+   * Time since the last start or end of a request if all slots are taken, else 0. A frozen upstream
+   * yields no latency samples, so this time stands for them.
+   */
   private stalledMilliseconds(now: number): number {
-    return this.running >= this.limit(now) ? now - this.progressAt : 0;
+    return this.runningCount >= this.limit(now) ? now - this.lastProgressAt : 0;
   }
 
   private recordEnd(request: EndedRequest, end: ExecutionEnd, now: number): void {
     const elapsed = now - request.startedAt;
     switch (end) {
       case ExecutionEnd.Answered:
-        this.answered(request, elapsed, now);
+        this.recordAnswer(request, elapsed, now);
         return;
       case ExecutionEnd.Cancelled:
-        this.estimate.cancelled(elapsed);
-        this.health.unanswered(request.executionId, 'unknown', now);
+        this.serviceTimeEstimate.onCancelled(elapsed);
+        this.health.onUnanswered(request.executionId, 'unknown', now);
         return;
       case ExecutionEnd.Failed:
-        this.estimate.failed(this.worstLatency(request, elapsed));
-        this.health.unanswered(request.executionId, 'reached', now);
+        this.serviceTimeEstimate.onFailed(this.worstLatency(request, elapsed));
+        this.health.onUnanswered(request.executionId, 'reached', now);
         return;
       case ExecutionEnd.NotReached:
-        this.estimate.failed(this.worstLatency(request, elapsed));
-        this.health.unanswered(request.executionId, 'refused', now);
+        this.serviceTimeEstimate.onFailed(this.worstLatency(request, elapsed));
+        this.health.onUnanswered(request.executionId, 'refused', now);
         return;
     }
   }
 
-  /** The caller would have waited until its deadline. */
+  /** Latency recorded for a failure: the time that the caller would have waited, within a bound. */
   private worstLatency(request: EndedRequest, elapsed: number): number {
-    const patience = request.deadline - request.startedAt;
-    return Math.max(elapsed, Math.min(patience, this.settings.failureLatencyMilliseconds));
+    const timeAllowed = request.deadline - request.startedAt;
+    return Math.max(elapsed, Math.min(timeAllowed, this.settings.failureLatencyMilliseconds));
   }
 
-  private answered(request: EndedRequest, elapsed: number, now: number): void {
-    this.estimate.answered(elapsed);
-    this.ramp.answered();
-    this.concurrency.answered(
+  private recordAnswer(request: EndedRequest, elapsed: number, now: number): void {
+    this.serviceTimeEstimate.onAnswered(elapsed);
+    this.slowStart.onAnswered();
+    this.concurrencyLimit.onAnswered(
       {
-        inFlight: this.running,
+        inFlight: this.runningCount,
         inFlightAtStart: request.inFlightAtStart,
         latencyMilliseconds: elapsed,
         startedAt: request.startedAt,
       },
       now,
     );
-    if (this.health.answered(now)) this.ramp.start(now);
+    if (this.health.onAnswered(now)) this.slowStart.start(now);
   }
 }
--- a/packages/core/src/gate/upstream-health.ts
+++ b/packages/core/src/gate/upstream-health.ts
@@ -2,19 +2,19 @@
 
 type HealthSettings = Pick<
   GateSettings,
-  'answerEvidenceMilliseconds' | 'refusedConnectionsUntilDown' | 'trialIntervalMilliseconds'
+  'recentAnswerMilliseconds' | 'refusedConnectionsUntilDown' | 'trialIntervalMilliseconds'
 >;
 
 /**
- * Whether the upstream counts as down. Only an answered request or a new announcement brings it
- * back: its health endpoint may mislead, so a healthy poll merely makes the next trial due.
+ * Whether the upstream counts as down. Only an answered request or a new announcement marks it as up
+ * again. Its health endpoint may be wrong, so a healthy poll only makes the next trial due.
  */
 export class UpstreamHealth {
   private down = false;
   private refusedConnections = 0;
-  private answeredAt = Number.NEGATIVE_INFINITY;
+  private lastAnswerAt = Number.NEGATIVE_INFINITY;
   private trialDueAt = 0;
-  private trialExecution: number | undefined;
+  private trialExecutionId: number | undefined;
 
   public constructor(private readonly settings: HealthSettings) {}
 
@@ -22,65 +22,64 @@
     return this.down;
   }
 
-  /** Whether a request may try if the upstream answers again. */
+  /** Whether a request may be sent as a trial to an upstream that is down. */
   public isTrialDue(now: number): boolean {
-    return this.trialExecution === undefined && now >= this.trialDueAt;
+    return this.trialExecutionId === undefined && now >= this.trialDueAt;
   }
 
-  public trialStarted(executionId: number): void {
-    this.trialExecution = executionId;
+  public onTrialStarted(executionId: number): void {
+    this.trialExecutionId = executionId;
   }
 
-  /** Time until another trial is possible. */
+  /** Time until the next trial is possible. */
   public untilTrialMilliseconds(now: number): number {
-    return this.trialExecution === undefined
+    return this.trialExecutionId === undefined
       ? Math.max(0, this.trialDueAt - now)
       : this.settings.trialIntervalMilliseconds;
   }
 
-  /** Returns true if the upstream was down after refused connections, as a restarting process is. */
-  public answered(now: number): boolean {
+  /** Returns true if the upstream was down with refused connections, which indicates a restart. */
+  public onAnswered(now: number): boolean {
     const isRestart = this.down && this.refusedConnections > 0;
-    this.answeredAt = now;
-    this.reset();
+    this.lastAnswerAt = now;
+    this.markUp();
     return isRestart;
   }
 
-  /** A request ended without an answer; `contact` says whether a connection was established. */
-  public unanswered(
+  /** A request ended without an answer; `contact` states whether a connection was established. */
+  public onUnanswered(
     executionId: number,
     contact: 'reached' | 'refused' | 'unknown',
     now: number,
   ): void {
     if (contact === 'refused') this.refusedConnections += 1;
     if (contact === 'reached' && !this.down) this.refusedConnections = 0;
-    if (executionId === this.trialExecution) this.scheduleTrial(now);
-    if (this.refusedConnections >= this.settings.refusedConnectionsUntilDown) this.setDown(now);
+    if (executionId === this.trialExecutionId) this.scheduleTrial(now);
+    if (this.refusedConnections >= this.settings.refusedConnectionsUntilDown) this.markDown(now);
   }
 
-  public polled(healthy: boolean, now: number): void {
-    if (healthy) {
-      if (this.trialExecution === undefined) this.trialDueAt = now;
+  public onPolled(isHealthy: boolean, now: number): void {
+    if (isHealthy) {
+      if (this.trialExecutionId === undefined) this.trialDueAt = now;
       return;
     }
-    if (now - this.answeredAt >= this.settings.answerEvidenceMilliseconds) this.setDown(now);
+    if (now - this.lastAnswerAt >= this.settings.recentAnswerMilliseconds) this.markDown(now);
   }
 
-  /** Takes the upstream as up. */
-  public reset(): void {
+  public markUp(): void {
     this.down = false;
     this.refusedConnections = 0;
-    this.trialExecution = undefined;
+    this.trialExecutionId = undefined;
   }
 
-  private setDown(now: number): void {
+  private markDown(now: number): void {
     if (this.down) return;
     this.down = true;
     this.scheduleTrial(now);
   }
 
   private scheduleTrial(now: number): void {
-    this.trialExecution = undefined;
+    this.trialExecutionId = undefined;
     this.trialDueAt = now + this.settings.trialIntervalMilliseconds;
   }
 }
--- a/packages/core/src/homes/creation-time.ts
+++ b/packages/core/src/homes/creation-time.ts
@@ -1,9 +1,9 @@
-const versionSevenPattern =
+const uuidVersion7Pattern =
   /^([0-9a-f]{8})-?([0-9a-f]{4})-?7[0-9a-f]{3}-?[89ab][0-9a-f]{3}-?[0-9a-f]{12}$/i;
 
-/** Returns the creation time in a UUIDv7 in Unix milliseconds, or undefined for any other key. */
+/** Returns the timestamp of a UUIDv7 key in Unix milliseconds, or undefined for any other key. */
 export function creationTimeOf(key: string): number | undefined {
-  const parts = versionSevenPattern.exec(key);
-  if (parts === null) return undefined;
-  return Number.parseInt(`${parts[1] ?? ''}${parts[2] ?? ''}`, 16);
+  const match = uuidVersion7Pattern.exec(key);
+  if (match === null) return undefined;
+  return Number.parseInt(`${match[1] ?? ''}${match[2] ?? ''}`, 16);
 }
--- a/packages/core/src/homes/hand-over.ts
+++ b/packages/core/src/homes/hand-over.ts
@@ -2,22 +2,24 @@
 import type { HomeTable, KeyRecord } from '../messages/home-table.js';
 import type { ServerIncarnation } from '../messages/identity.js';
 import type { HomeSettings } from './home-settings.js';
-import type { KeyStore, StoredRecord } from './key-store.js';
-import type { RangeTenure } from './range-tenure.js';
+import type { KeyRecordStore, InMemoryKeyRecord } from './key-record-store.js';
+import type { LocalRange } from './local-range.js';
 import type { RangeTarget } from './table-plan.js';
 
 interface UnacknowledgedPart {
   readonly to: string;
   readonly frame: RecordsTransferFrame;
-  sentAt: number;
+  /** Monotonic time at which the part is sent, or sent again if it has not been acknowledged. */
+  dueAt: number;
 }
 
-/** Approximate bytes of a record on the wire without its answer. */
-const recordWireBytes = 256;
+/** Estimated size in bytes of an encoded record without the body of its recorded answer. */
+const recordOverheadWireBytes = 256;
 
 /**
- * Hands ranges over: stops accepting, waits for running attempts, sends the records, and lets the
- * table be written once all are acknowledged. It may be abandoned until the table is being written.
+ * Hands ranges of this node over to other homes: stops accepting new keys, waits for running
+ * attempts to end, sends the key records, and allows the new home table to be written once every part
+ * is acknowledged. The hand-over can be abandoned until the write of the table has started.
  */
 export class HandOver {
   private phase: 'draining' | 'sending' | 'acknowledged' | 'writing' = 'draining';
@@ -26,142 +28,160 @@
 
   public constructor(
     public readonly transfer: string,
-    private readonly homes: ReadonlyMap<RangeTenure, ServerIncarnation>,
+    private readonly newHomes: ReadonlyMap<LocalRange, ServerIncarnation>,
     private readonly settings: HomeSettings,
     private readonly startedAt: number,
   ) {
-    for (const tenure of homes.keys()) tenure.isAccepting = false;
+    for (const localRange of newHomes.keys()) localRange.isAccepting = false;
   }
 
   public get isWriting(): boolean {
     return this.phase === 'writing';
   }
 
-  public get mayBeWritten(): boolean {
+  public get isReadyForTableWrite(): boolean {
     return this.phase === 'acknowledged' || this.phase === 'writing';
   }
 
-  /** The table with this hand-over is sent to the store; from now on it can't be abandoned. */
-  public writing(): void {
+  /**
+   * The table that completes this hand-over is being sent to the store. It may take effect even
+   * without a reply, so from now on the hand-over can't be abandoned.
+   */
+  public onWriteStarted(): void {
     this.phase = 'writing';
   }
 
-  public get tenures(): readonly RangeTenure[] {
-    return [...this.homes.keys()];
+  public get localRanges(): readonly LocalRange[] {
+    return [...this.newHomes.keys()];
   }
 
-  /** Servers that get a range. */
+  /** Servers that receive at least one range. */
   public get recipients(): readonly string[] {
-    return [...new Set([...this.homes.values()].map(({ server }) => server))];
+    return [...new Set([...this.newHomes.values()].map(({ server }) => server))];
   }
 
-  /** Where each range goes. */
+  /** The new home of each range, by range number. */
   public targets(): ReadonlyMap<number, RangeTarget> {
     return new Map(
-      [...this.homes].map(([tenure, home]) => [
-        tenure.range,
-        { home, transfer: tenure.isActivated ? this.transfer : undefined },
+      [...this.newHomes].map(([localRange, home]) => [
+        localRange.range,
+        { home, transfer: localRange.isActivated ? this.transfer : undefined },
       ]),
     );
   }
 
-  /** Whether a table completed this hand-over. */
+  /** Whether this table assigns all ranges of the hand-over to their new homes. */
   public isCompletedBy(table: HomeTable): boolean {
-    return [...this.homes].every(([tenure, home]) => {
-      const assignment = table.ranges[tenure.range];
-      return assignment?.server === home.server && assignment.since > tenure.since;
+    return [...this.newHomes].every(([localRange, home]) => {
+      const assignment = table.ranges[localRange.range];
+      return assignment?.server === home.server && assignment.since > localRange.since;
     });
   }
 
-  /** Starts sending once nothing runs any more, and sends again what is not acknowledged. */
+  /**
+   * Starts the transfer once no attempt of these ranges is running, and returns the parts to send now:
+   * each is sent again after the resend interval until it is acknowledged.
+   */
   public tick(
-    isRunning: (scope: string) => boolean,
-    records: KeyStore,
+    hasRunningAttempt: (rangeId: string) => boolean,
+    records: KeyRecordStore,
     monotonic: number,
   ): readonly { readonly to: string; readonly frame: RecordsTransferFrame }[] {
     if (this.phase === 'draining') {
-      if (this.tenures.some(({ scope }) => isRunning(scope))) return [];
+      if (this.localRanges.some(({ rangeId }) => hasRunningAttempt(rangeId))) return [];
       this.startSending(records, monotonic);
     }
     if (this.phase !== 'sending') return [];
     if (this.unacknowledged.size === 0) this.phase = 'acknowledged';
-    const due = [...this.unacknowledged.values()].filter(({ sentAt }) => sentAt <= monotonic);
-    for (const part of due) part.sentAt = monotonic + this.settings.transferResendMilliseconds;
+    const due = [...this.unacknowledged.values()].filter(({ dueAt }) => dueAt <= monotonic);
+    for (const part of due) part.dueAt = monotonic + this.settings.transferResendMilliseconds;
     return due;
   }
 
-  public received(from: string, frame: RecordsReceivedFrame): void {
+  public onRecordsReceived(from: string, frame: RecordsReceivedFrame): void {
     if (frame.transfer !== this.transfer) return;
-    const name = partName(frame.range, frame.part);
-    if (this.unacknowledged.get(name)?.to === from) this.unacknowledged.delete(name);
+    const id = partId(frame.range, frame.part);
+    if (this.unacknowledged.get(id)?.to === from) this.unacknowledged.delete(id);
     if (this.phase === 'sending' && this.unacknowledged.size === 0) this.phase = 'acknowledged';
   }
 
-  /** Whether the transfer has taken too long. A planned stop waits for running attempts, a spread doesn't. */
-  public isOverdue(waitsForRunning: boolean, monotonic: number): boolean {
+  /**
+   * Whether the hand-over has timed out. A planned stop waits for running attempts without a limit;
+   * rebalancing gives up on them after the transfer timeout.
+   */
+  public isOverdue(isPlannedStop: boolean, monotonic: number): boolean {
     const { transferTimeoutMilliseconds } = this.settings;
     if (this.phase === 'draining') {
-      return !waitsForRunning && monotonic >= this.startedAt + transferTimeoutMilliseconds;
+      return !isPlannedStop && monotonic >= this.startedAt + transferTimeoutMilliseconds;
     }
     if (this.phase !== 'sending') return false;
     return monotonic >= this.startedSendingAt + transferTimeoutMilliseconds;
   }
 
-  /** Lets the ranges accept again; only allowed while no write has been sent. */
-  public abandon(): void {
-    for (const tenure of this.homes.keys()) tenure.isAccepting = true;
+  /**
+   * Lets the ranges accept new keys again. Must not be called while a write of the table that gives
+   * them away may still take effect.
+   */
+  public resumeAccepting(): void {
+    for (const localRange of this.newHomes.keys()) localRange.isAccepting = true;
   }
 
-  private startSending(records: KeyStore, monotonic: number): void {
+  private startSending(records: KeyRecordStore, monotonic: number): void {
     this.phase = 'sending';
     this.startedSendingAt = monotonic;
-    for (const [tenure, home] of this.homes) {
-      if (!tenure.isActivated) continue;
-      const parts = partition(records.records(tenure.scope), this.settings.transferPartBytes);
-      const service = tenure.scope.slice(0, tenure.scope.lastIndexOf('/'));
+    for (const [localRange, home] of this.newHomes) {
+      if (!localRange.isActivated) continue;
+      const parts = splitIntoParts(
+        records.records(localRange.rangeId),
+        this.settings.transferPartBytes,
+      );
+      const service = localRange.rangeId.slice(0, localRange.rangeId.lastIndexOf('/'));
       for (const [part, partRecords] of parts.entries()) {
         const frame: RecordsTransferFrame = {
-          cutoff: tenure.bounds.cutoff,
-          forgottenUntil: records.forgottenUntil(tenure.scope),
+          cutoff: localRange.bounds.cutoff,
+          forgottenUntil: records.forgottenUntil(localRange.rangeId),
           kind: 'records-transfer',
           last: part === parts.length - 1,
           part,
-          range: tenure.range,
+          range: localRange.range,
           records: partRecords,
           service,
           transfer: this.transfer,
-          voidUntil: tenure.bounds.voidUntil,
+          voidUntil: localRange.bounds.voidUntil,
         };
-        const name = partName(tenure.range, part);
-        this.unacknowledged.set(name, { frame, sentAt: monotonic, to: home.server });
+        const id = partId(localRange.range, part);
+        this.unacknowledged.set(id, { frame, dueAt: monotonic, to: home.server });
       }
     }
   }
 }
 
-function partName(range: number, part: number): string {
+function partId(range: number, part: number): string {
   return `${range}/${part}`;
 }
 
-/** Splits records into parts of bounded size; there is always at least one part. */
-function partition(records: readonly StoredRecord[], partBytes: number): KeyRecord[][] {
+/**
+ * Splits records into parts of at most `partBytes`, or one larger record; returns at least one
+ * part.
+ */
+function splitIntoParts(records: readonly InMemoryKeyRecord[], partBytes: number): KeyRecord[][] {
   let current: KeyRecord[] = [];
   const parts = [current];
   let bytes = 0;
   for (const record of records) {
-    const size = recordWireBytes + (record.body?.length ?? 0);
+    const size = recordOverheadWireBytes + (record.body?.length ?? 0);
     if (current.length > 0 && bytes + size > partBytes) {
       current = [];
       parts.push(current);
       bytes = 0;
     }
-    current.push(wireRecord(record));
+    current.push(toKeyRecord(record));
     bytes += size;
   }
   return parts;
 }
 
-function wireRecord(record: StoredRecord): KeyRecord {
+function toKeyRecord(record: InMemoryKeyRecord): KeyRecord {
   const { body, digest, headers, key, recordedAt, state, status, unknownReason } = record;
   return { body, digest, headers, key, recordedAt, state, status, unknownReason };
 }
