--- a/packages/core/src/node/configuration-board.ts
+++ b/packages/core/src/node/configuration-coordinator.ts
@@ -2,28 +2,28 @@
 
 import type {
   ConfigurationCommand,
-  ConfigurationKeeperContract,
+  ConfigurationManagerContract,
 } from '../configuration/configuration-contract.js';
 import type { Configuration } from '../messages/service-configuration.js';
 import { StoreClient } from '../messages/store.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 import type { Outbox } from './outbox.js';
 
-export interface ConfigurationBoardOptions {
-  readonly keeper: ConfigurationKeeperContract;
+export interface ConfigurationCoordinatorOptions {
+  readonly subsystem: ConfigurationManagerContract;
   readonly outbox: Outbox;
-  readonly inForce: (configuration: Configuration, now: ClockReading) => void;
+  readonly onInForce: (configuration: Configuration, now: ClockReading) => void;
 }
 
-/** Carries out what the configuration keeper decides. */
-export class ConfigurationBoard {
-  /** Whether this node watched the store's root record at the last tick. */
+/** Carries out the commands of the configuration subsystem. */
+export class ConfigurationCoordinator {
+  /** Whether this node was watching the store's root record as of the last tick. */
   public isWatching = false;
 
-  public constructor(private readonly options: ConfigurationBoardOptions) {}
+  public constructor(private readonly options: ConfigurationCoordinatorOptions) {}
 
   public apply(commands: readonly ConfigurationCommand[], now: ClockReading): void {
-    const { inForce, outbox } = this.options;
+    const { onInForce, outbox } = this.options;
     for (const command of commands) {
       match(command)
         .with({ kind: 'send' }, ({ frame, to }) => {
@@ -33,21 +33,21 @@
           const client = StoreClient.Configuration;
           outbox.push({ client, kind: 'store', operation, operationId });
         })
-        .with({ kind: 'configuration-in-force' }, (changed) => {
-          outbox.push(changed);
-          inForce(changed.configuration, now);
+        .with({ kind: 'configuration-in-force' }, (change) => {
+          outbox.push(change);
+          onInForce(change.configuration, now);
         })
-        .with({ kind: 'proposal-concluded' }, { kind: 'count' }, { kind: 'log' }, (own) => {
-          outbox.push(own);
+        .with({ kind: 'proposal-concluded' }, { kind: 'count' }, { kind: 'log' }, (coreCommand) => {
+          outbox.push(coreCommand);
         })
         .exhaustive();
     }
   }
 
   public tick(isBridge: boolean, now: ClockReading): void {
-    const { keeper } = this.options;
+    const { subsystem } = this.options;
     this.isWatching = isBridge;
-    this.apply(keeper.setWatching(isBridge, now), now);
-    this.apply(keeper.tick(now), now);
+    this.apply(subsystem.setWatching(isBridge, now), now);
+    this.apply(subsystem.tick(now), now);
   }
 }
--- a/packages/core/src/node/execution-board.ts
+++ b/packages/core/src/node/execution-manager.ts
@@ -12,11 +12,12 @@
 
 const notReachedRetryAfterMilliseconds = 1_000;
 /**
- * Time past its deadline after which a request is aborted whatever its class: a frozen upstream would
- * hold the slot for ever. Its outcome has been unknown to everybody since the deadline.
+ * How long after its deadline a running request is aborted, even if it is non-idempotent: a hung
+ * upstream would otherwise occupy the slot forever. Its outcome has been reported as unknown since
+ * the deadline.
  */
-const overdueLimitMilliseconds = 60_000;
-const overdueCheckMilliseconds = 1_000;
+const overdueAbortMilliseconds = 60_000;
+const overdueCheckIntervalMilliseconds = 1_000;
 
 type ExecutionState = 'waiting' | 'running' | 'answered' | 'cancelled';
 
@@ -24,30 +25,33 @@
   readonly executionId: number;
   readonly from: string;
   readonly frame: RequestStartFrame;
-  /** Monotonic time by which the answer is due. */
+  /** Monotonic time by which the response is due. */
   readonly deadline: number;
-  /** Where a streamed request body comes from. */
-  readonly bodyFrom: BodyEndpoint | undefined;
+  /** Source of a streamed request body. */
+  readonly bodySource: BodyEndpoint | undefined;
   state: ExecutionState;
   end: ExecutionEnd | undefined;
 }
 
-export interface ExecutionBoardOptions {
+export interface ExecutionManagerOptions {
   readonly self: string;
   readonly gate: GateContract;
   readonly outbox: Outbox;
-  /** Takes the results of attempts that this node made at its own gate. */
-  readonly localResult: (frame: CallFrame, now: ClockReading) => void;
+  /** Receives the result frames of attempts that this node made at its own gate. */
+  readonly onLocalResult: (frame: CallFrame, now: ClockReading) => void;
 }
 
-/** The requests that wait or run at this node's gate, and who sent them. */
-export class ExecutionBoard {
+/**
+ * Tracks the requests that wait at this node's gate or run at its upstream, and replies to their
+ * senders.
+ */
+export class ExecutionManager {
   private readonly executions = new Map<number, Execution>();
   private readonly byCall = new Map<string, Execution>();
   private nextExecutionId = 1;
   private nextOverdueCheckAt = 0;
 
-  public constructor(private readonly options: ExecutionBoardOptions) {}
+  public constructor(private readonly options: ExecutionManagerOptions) {}
 
   public get size(): number {
     return this.executions.size;
@@ -65,7 +69,7 @@
     const remoteBody: BodyEndpoint = { callId: frame.callId, kind: 'peer', server: from };
     const deadline = now.monotonic + frame.remainingMilliseconds;
     const execution: Execution = {
-      bodyFrom: frame.streamedBody ? (localBody ?? remoteBody) : undefined,
+      bodySource: frame.streamedBody ? (localBody ?? remoteBody) : undefined,
       deadline,
       end: undefined,
       executionId,
@@ -75,7 +79,7 @@
     };
     this.executions.set(executionId, execution);
     this.byCall.set(callKey(from, frame.callId), execution);
-    const decisions = this.options.gate.offer(
+    const decisions = this.options.gate.submit(
       {
         deadline,
         executionId,
@@ -87,7 +91,7 @@
     this.apply(decisions, now);
   }
 
-  /** Carries out what the gate decided. */
+  /** Carries out the gate's decisions. */
   public apply(decisions: readonly GateDecision[], now: ClockReading): void {
     for (const decision of decisions) {
       const execution = this.executions.get(decision.executionId);
@@ -102,7 +106,11 @@
     }
   }
 
-  public upstreamResult(executionId: number, result: UpstreamResult, now: ClockReading): void {
+  public handleUpstreamResult(
+    executionId: number,
+    result: UpstreamResult,
+    now: ClockReading,
+  ): void {
     const execution = this.executions.get(executionId);
     if (execution?.state !== 'running') {
       return;
@@ -111,12 +119,12 @@
     execution.state = 'answered';
     switch (result.kind) {
       case 'answered':
-        this.answer(execution, result, now);
+        this.sendResponse(execution, result, now);
         return;
       case 'not-reached': {
         execution.end = ExecutionEnd.NotReached;
         const refusal = {
-          load: this.load(execution, now),
+          load: this.loadReport(execution, now),
           reason: RefusalReason.UpstreamDown,
           retryAfterMilliseconds: notReachedRetryAfterMilliseconds,
         };
@@ -125,25 +133,28 @@
       }
       case 'failed': {
         execution.end = ExecutionEnd.Failed;
-        const load = this.load(execution, now);
+        const load = this.loadReport(execution, now);
         this.reply(execution, { callId, detail: result.detail, kind: 'request-failed', load }, now);
       }
     }
   }
 
-  /** The upstream's connection is done with the request: the slot is free. */
-  public upstreamFinished(executionId: number, complete: boolean, now: ClockReading): void {
+  /** The exchange with the upstream has ended, so the request's slot is free. */
+  public onUpstreamFinished(executionId: number, complete: boolean, now: ClockReading): void {
     const execution = this.executions.get(executionId);
     if (execution === undefined) {
       return;
     }
-    const cutEnd = execution.state === 'cancelled' ? ExecutionEnd.Cancelled : ExecutionEnd.Failed;
-    const end = complete ? (execution.end ?? ExecutionEnd.Answered) : (execution.end ?? cutEnd);
+    const incompleteEnd =
+      execution.state === 'cancelled' ? ExecutionEnd.Cancelled : ExecutionEnd.Failed;
+    const end = complete
+      ? (execution.end ?? ExecutionEnd.Answered)
+      : (execution.end ?? incompleteEnd);
     this.remove(execution);
-    this.apply(this.options.gate.finished(executionId, end, now), now);
+    this.apply(this.options.gate.onFinished(executionId, end, now), now);
   }
 
-  /** The sender no longer wants the answer. */
+  /** Cancels a request whose sender no longer needs the response. */
   public cancel(from: string, callId: number, now: ClockReading): void {
     const execution = this.byCall.get(callKey(from, callId));
     if (execution === undefined) {
@@ -151,45 +162,47 @@
     }
     const isKeyed = execution.frame.requestClass === RequestClass.NonIdempotent;
     if (isKeyed && execution.state !== 'waiting') {
-      // Its effect is wanted, and its answer still settles the key's record.
+      // The request's effect is still wanted, and its response determines the outcome in the key's
+      // record.
       return;
     }
-    this.withdraw(execution);
+    this.abort(execution);
     if (isKeyed && !this.executions.has(execution.executionId)) {
       const refusal = { reason: RefusalReason.DeadlineExpired };
       this.reply(execution, { callId, kind: 'request-refused', refusal }, now);
     }
   }
 
-  /** A node that sent requests is gone: nobody waits for their answers. */
-  public peerLost(server: string): void {
+  /** The connection to a sender was lost, so nobody waits for the responses to its requests. */
+  public onPeerLost(server: string): void {
     for (const execution of [...this.executions.values()]) {
       if (execution.from !== server) {
         continue;
       }
       const isRunning = execution.state !== 'waiting';
-      // A non-idempotent request that runs is left to finish: its effect is wanted even unheard.
+      // A running non-idempotent request may finish: its effect is wanted even if nobody receives
+      // the response.
       if (!isRunning || execution.frame.requestClass === RequestClass.Idempotent) {
-        this.withdraw(execution);
+        this.abort(execution);
       }
     }
   }
 
-  /** Aborts requests that are long overdue. */
+  /** Aborts requests that are overdue by more than `overdueAbortMilliseconds`. */
   public tick(now: ClockReading): void {
     if (now.monotonic < this.nextOverdueCheckAt) {
       return;
     }
-    this.nextOverdueCheckAt = now.monotonic + overdueCheckMilliseconds;
+    this.nextOverdueCheckAt = now.monotonic + overdueCheckIntervalMilliseconds;
     for (const execution of [...this.executions.values()]) {
-      if (now.monotonic - execution.deadline > overdueLimitMilliseconds) {
-        this.withdraw(execution);
+      if (now.monotonic - execution.deadline > overdueAbortMilliseconds) {
+        this.abort(execution);
       }
     }
   }
 
-  /** The stream of an answer that this node's own caller waits for. */
-  public localAnswerStream(callId: number): BodyEndpoint | undefined {
+  /** Returns the response body of a call that this node made at its own gate. */
+  public localResponseStream(callId: number): BodyEndpoint | undefined {
     const execution = this.byCall.get(callKey(this.options.self, callId));
     return execution && { executionId: execution.executionId, kind: 'upstream' };
   }
@@ -205,16 +218,16 @@
     this.reply(execution, { callId, kind: 'request-refused', refusal }, now);
   }
 
-  private answer(
+  private sendResponse(
     execution: Execution,
-    answer: Extract<UpstreamResult, { readonly kind: 'answered' }>,
+    response: Extract<UpstreamResult, { readonly kind: 'answered' }>,
     now: ClockReading,
   ): void {
-    const { body, headers, status, streamedBody } = answer;
+    const { body, headers, status, streamedBody } = response;
     const { executionId, from } = execution;
     const { callId } = execution.frame;
     execution.end = status >= 500 ? ExecutionEnd.Failed : ExecutionEnd.Answered;
-    const load = this.load(execution, now);
+    const load = this.loadReport(execution, now);
     this.reply(
       execution,
       { body, callId, headers, kind: 'answer', load, status, streamedBody },
@@ -230,7 +243,7 @@
     }
   }
 
-  private withdraw(execution: Execution): void {
+  private abort(execution: Execution): void {
     const { executionId } = execution;
     if (execution.state === 'waiting') {
       if (this.options.gate.cancelWaiting(executionId)) {
@@ -262,10 +275,10 @@
       remainingMilliseconds: Math.max(1, execution.deadline - now.monotonic),
       streamedBody: frame.streamedBody,
     });
-    if (execution.bodyFrom !== undefined) {
+    if (execution.bodySource !== undefined) {
       outbox.push({
         direction: 'request',
-        from: execution.bodyFrom,
+        from: execution.bodySource,
         kind: 'relay-body',
         to: { executionId, kind: 'upstream' },
       });
@@ -274,7 +287,7 @@
 
   private reply(execution: Execution, frame: CallFrame, now: ClockReading): void {
     if (execution.from === this.options.self) {
-      this.options.localResult(frame, now);
+      this.options.onLocalResult(frame, now);
       return;
     }
     this.options.outbox.reply(execution.from, frame);
@@ -285,9 +298,9 @@
     this.byCall.delete(callKey(execution.from, execution.frame.callId));
   }
 
-  private load(execution: Execution, now: ClockReading): LoadReport {
+  private loadReport(execution: Execution, now: ClockReading): LoadReport {
     return (
-      this.options.gate.load(now) ?? {
+      this.options.gate.loadReport(now) ?? {
         inFlight: 0,
         latencyMilliseconds: 0,
         limit: 0,
--- a/packages/core/src/node/keyed-board.ts
+++ b/packages/core/src/node/keyed-request-coordinator.ts
@@ -1,14 +1,14 @@
-import { KeyInquiry } from '../entry/key-inquiry.js';
+import { KeyLookup } from '../entry/key-lookup.js';
 import { KeyedForwarder } from '../entry/keyed-forwarder.js';
-import type { InquiryCommand } from '../entry/key-inquiry.js';
+import type { KeyLookupCommand } from '../entry/key-lookup.js';
 import type { ForwarderCommand, KeyedRequest } from '../entry/keyed-forwarder.js';
 import type {
   HomeCommand,
-  HomeKeeperContract,
+  HomeManagerContract,
   KeyedAnswer,
   RunKeyedCommand,
 } from '../homes/home-contract.js';
-import type { AskKeyMessage } from '../messages/core-message.js';
+import type { KeyStateQueryMessage } from '../messages/core-message.js';
 import type { HomeFrame, KeyedFrame, KeyedOutcome, KeyedRequestFrame } from '../messages/frames.js';
 import type { MemberRecord } from '../messages/member.js';
 import type { CallOutcome } from '../messages/outcome.js';
@@ -20,27 +20,30 @@
 import type { RandomSource } from '../shared/random-source.js';
 import type { Outbox } from './outbox.js';
 
-/** How often the home table of one service is asked for while requests wait for it. */
-const tableRequestMilliseconds = 200;
+/** Minimum time between requests for one service's home table while keyed requests wait for it. */
+const tableRequestIntervalMilliseconds = 200;
 
-export interface KeyedBoardOptions {
+export interface KeyedRequestCoordinatorOptions {
   readonly self: string;
-  readonly homes: HomeKeeperContract;
+  readonly homes: HomeManagerContract;
   readonly router: RouterContract;
   readonly outbox: Outbox;
   readonly random: RandomSource;
   readonly nextCallId: () => number;
-  readonly run: (command: RunKeyedCommand, now: ClockReading) => void;
-  readonly handedOver: (now: ClockReading) => void;
+  readonly runKeyedRequest: (command: RunKeyedCommand, now: ClockReading) => void;
+  readonly onHandedOver: (now: ClockReading) => void;
 }
 
-/** Connects callers' keyed requests, this node's homes and the homes on other nodes. */
-export class KeyedBoard {
+/**
+ * Routes keyed requests and key state queries between callers, this node's homes and the homes on
+ * other nodes.
+ */
+export class KeyedRequestCoordinator {
   private readonly forwarder: KeyedForwarder;
-  private readonly inquiry: KeyInquiry;
+  private readonly inquiry: KeyLookup;
   private readonly tableRequestedAt = new Map<string, number>();
 
-  public constructor(private readonly options: KeyedBoardOptions) {
+  public constructor(private readonly options: KeyedRequestCoordinatorOptions) {
     const { homes, nextCallId } = options;
     const lookup = {
       nextCallId,
@@ -48,117 +51,128 @@
       table: (service: string) => homes.table(service),
     };
     this.forwarder = new KeyedForwarder(lookup);
-    this.inquiry = new KeyInquiry(lookup);
+    this.inquiry = new KeyLookup(lookup);
   }
 
   public get inProgress(): number {
     return this.forwarder.inProgress;
   }
 
-  /** Whether requests or operators' questions wait for an answer. */
-  public get isWaiting(): boolean {
+  /** Whether keyed requests or operators' key state queries are waiting for a result. */
+  public get hasWork(): boolean {
     return this.forwarder.inProgress + this.inquiry.inProgress > 0;
   }
 
   public begin(request: KeyedRequest, now: ClockReading): void {
-    this.applyForwarder(this.forwarder.begin(request, now), now);
+    this.applyForwarderCommands(this.forwarder.begin(request, now), now);
   }
 
-  /** Asks the home of a key on an operator's behalf. */
-  public ask({ key, questionId, service }: AskKeyMessage, now: ClockReading): void {
-    this.applyInquiry(this.inquiry.begin({ key, questionId, service }, now), now);
+  /** Asks the home of a key for its state on behalf of an operator. */
+  public queryKeyState(
+    { key, questionId, service }: KeyStateQueryMessage,
+    now: ClockReading,
+  ): void {
+    this.applyInquiryCommands(this.inquiry.begin({ key, questionId, service }, now), now);
   }
 
-  public callerGone(requestNumber: number): void {
+  public onCallerDisconnected(requestNumber: number): void {
     this.forwarder.abandon(requestNumber);
   }
 
-  // `switch` instead of ts-pattern: a chain of matches builds its patterns anew for each frame, which
-  // takes about 40 us of a keyed call while the code is not optimised yet.
-  public keyedFrame(from: string, frame: KeyedFrame, now: ClockReading): void {
+  // Uses `switch` instead of ts-pattern: a `match` chain rebuilds its patterns for each frame, which
+  // costs about 40 us per keyed call before the JIT compiler has optimized the code.
+  public handleKeyedFrame(from: string, frame: KeyedFrame, now: ClockReading): void {
     switch (frame.kind) {
       case 'keyed-request':
-        this.applyHomes(this.options.homes.request(from, frame, now), now);
+        this.applyHomeCommands(this.options.homes.onRequest(from, frame, now), now);
         return;
       case 'key-question':
-        this.applyHomes(this.options.homes.question(from, frame, now), now);
+        this.applyHomeCommands(this.options.homes.onKeyQuestion(from, frame, now), now);
         return;
       case 'keyed-outcome':
-        this.outcome(from, frame.callId, frame.outcome, now);
+        this.handleOutcome(from, frame.callId, frame.outcome, now);
         return;
       case 'key-answer':
-        this.applyInquiry(this.inquiry.answered(from, frame), now);
+        this.applyInquiryCommands(this.inquiry.onAnswer(from, frame), now);
     }
   }
 
-  public homeFrame(from: string, frame: HomeFrame, now: ClockReading): void {
-    this.applyHomes(this.options.homes.frame(from, frame, now), now);
+  public handleHomeFrame(from: string, frame: HomeFrame, now: ClockReading): void {
+    this.applyHomeCommands(this.options.homes.onFrame(from, frame, now), now);
     if (frame.kind === 'home-table' || frame.kind === 'home-confirm') {
-      this.applyForwarder(this.forwarder.tableChanged(frame.service, now), now);
+      this.applyForwarderCommands(this.forwarder.onTableChanged(frame.service, now), now);
     }
   }
 
-  public concluded(
+  public onDispatchConcluded(
     dispatchId: number,
     outcome: CallOutcome,
     answer: KeyedAnswer | undefined,
     now: ClockReading,
   ): void {
-    this.applyHomes(this.options.homes.concluded(dispatchId, outcome, answer, now), now);
+    this.applyHomeCommands(
+      this.options.homes.onAttemptConcluded(dispatchId, outcome, answer, now),
+      now,
+    );
   }
 
-  /** The end of an attempt that its home had to give up before. */
-  public settled(
+  /** Reports the outcome of a dispatch that its home had already given up. */
+  public onDispatchSettled(
     dispatchId: number,
     outcome: CallOutcome,
     answer: KeyedAnswer | undefined,
     now: ClockReading,
   ): void {
-    this.applyHomes(this.options.homes.settled(dispatchId, outcome, answer, now), now);
+    this.applyHomeCommands(this.options.homes.onLateOutcome(dispatchId, outcome, answer, now), now);
   }
 
-  public storeResult(operationId: number, result: StoreResult, now: ClockReading): void {
-    this.applyHomes(this.options.homes.storeResult(operationId, result, now), now);
+  public handleStoreResult(operationId: number, result: StoreResult, now: ClockReading): void {
+    this.applyHomeCommands(this.options.homes.onStoreResult(operationId, result, now), now);
   }
 
-  public members(
+  public updateMembers(
     members: readonly MemberRecord[],
     unreachable: ReadonlySet<string>,
     now: ClockReading,
   ): void {
-    this.applyHomes(this.options.homes.members(members, unreachable, now), now);
+    this.applyHomeCommands(this.options.homes.onMembersChanged(members, unreachable, now), now);
   }
 
   public handOver(now: ClockReading): void {
-    this.applyHomes(this.options.homes.handOver(now), now);
+    this.applyHomeCommands(this.options.homes.startHandOver(now), now);
   }
 
-  public notSent(callId: number, now: ClockReading): void {
-    this.applyForwarder(this.forwarder.notSent(callId, now), now);
+  public onNotSent(callId: number, now: ClockReading): void {
+    this.applyForwarderCommands(this.forwarder.onNotSent(callId, now), now);
   }
 
-  public peerLost(server: string, now: ClockReading): void {
-    this.applyForwarder(this.forwarder.peerLost(server), now);
+  public onPeerLost(server: string, now: ClockReading): void {
+    this.applyForwarderCommands(this.forwarder.onPeerLost(server), now);
   }
 
   public tick(now: ClockReading): void {
-    this.applyHomes(this.options.homes.tick(now), now);
-    this.applyForwarder(this.forwarder.tick(now), now);
-    this.applyInquiry(this.inquiry.tick(now), now);
+    this.applyHomeCommands(this.options.homes.tick(now), now);
+    this.applyForwarderCommands(this.forwarder.tick(now), now);
+    this.applyInquiryCommands(this.inquiry.tick(now), now);
     for (const service of this.forwarder.waitingServices()) {
-      this.applyForwarder(this.forwarder.tableChanged(service, now), now);
+      this.applyForwarderCommands(this.forwarder.onTableChanged(service, now), now);
     }
   }
 
-  private outcome(from: string, callId: number, outcome: KeyedOutcome, now: ClockReading): void {
+  private handleOutcome(
+    from: string,
+    callId: number,
+    outcome: KeyedOutcome,
+    now: ClockReading,
+  ): void {
     if (outcome.kind === 'not-home' && outcome.table !== undefined) {
       const { table } = outcome;
-      this.homeFrame(from, { kind: 'home-table', service: table.service, table }, now);
+      this.handleHomeFrame(from, { kind: 'home-table', service: table.service, table }, now);
     }
-    this.applyForwarder(this.forwarder.outcome(from, callId, outcome, now), now);
+    this.applyForwarderCommands(this.forwarder.onOutcome(from, callId, outcome, now), now);
   }
 
-  private applyForwarder(commands: readonly ForwarderCommand[], now: ClockReading): void {
+  private applyForwarderCommands(commands: readonly ForwarderCommand[], now: ClockReading): void {
     for (const command of commands) {
       switch (command.kind) {
         case 'forward':
@@ -168,7 +182,7 @@
           this.requestTable(command.service, now);
           break;
         case 'conclude':
-          this.conclude(command.requestNumber, command.outcome);
+          this.replyToCaller(command.requestNumber, command.outcome);
       }
     }
   }
@@ -177,18 +191,21 @@
     const { homes, outbox, self } = this.options;
     outbox.journal(frame.head.requestId, { kind: 'sent', role: 'home', server: to });
     if (to === self) {
-      this.applyHomes(homes.request(to, frame, now), now);
+      this.applyHomeCommands(homes.onRequest(to, frame, now), now);
     } else if (!outbox.send(to, frame)) {
-      this.applyForwarder(this.forwarder.notSent(frame.callId, now), now);
+      this.applyForwarderCommands(this.forwarder.onNotSent(frame.callId, now), now);
     }
   }
 
-  private applyInquiry(commands: readonly InquiryCommand[], now: ClockReading): void {
+  private applyInquiryCommands(commands: readonly KeyLookupCommand[], now: ClockReading): void {
     for (const command of commands) {
       switch (command.kind) {
         case 'ask':
           if (command.to === this.options.self) {
-            this.applyHomes(this.options.homes.question(command.to, command.frame, now), now);
+            this.applyHomeCommands(
+              this.options.homes.onKeyQuestion(command.to, command.frame, now),
+              now,
+            );
           } else {
             this.options.outbox.send(command.to, command.frame);
           }
@@ -202,7 +219,7 @@
     }
   }
 
-  private conclude(
+  private replyToCaller(
     requestNumber: number,
     outcome: Exclude<KeyedOutcome, { readonly kind: 'not-home' }>,
   ): void {
@@ -224,7 +241,10 @@
 
   private requestTable(service: string, now: ClockReading): void {
     const requestedAt = this.tableRequestedAt.get(service);
-    if (requestedAt !== undefined && now.monotonic - requestedAt < tableRequestMilliseconds) {
+    if (
+      requestedAt !== undefined &&
+      now.monotonic - requestedAt < tableRequestIntervalMilliseconds
+    ) {
       return;
     }
     this.tableRequestedAt.set(service, now.monotonic);
@@ -236,16 +256,16 @@
     }
   }
 
-  private applyHomes(commands: readonly HomeCommand[], now: ClockReading): void {
+  private applyHomeCommands(commands: readonly HomeCommand[], now: ClockReading): void {
     const { outbox, self } = this.options;
     for (const command of commands) {
       switch (command.kind) {
         case 'run-keyed':
-          this.options.run(command, now);
+          this.options.runKeyedRequest(command, now);
           break;
         case 'keyed-reply': {
           const { callId, outcome, to } = command;
-          if (to === self) this.outcome(self, callId, outcome, now);
+          if (to === self) this.handleOutcome(self, callId, outcome, now);
           else outbox.reply(to, { callId, kind: 'keyed-outcome', outcome });
           break;
         }
@@ -258,7 +278,7 @@
           break;
         }
         case 'handed-over':
-          this.options.handedOver(now);
+          this.options.onHandedOver(now);
           break;
         case 'count':
         case 'log':
@@ -275,10 +295,10 @@
     if (to !== this.options.self) {
       this.options.outbox.reply(to, frame);
     } else if (frame.kind === 'key-answer') {
-      this.applyInquiry(this.inquiry.answered(to, frame), now);
+      this.applyInquiryCommands(this.inquiry.onAnswer(to, frame), now);
     } else {
-      // This node is a witness of its own home.
-      this.homeFrame(to, frame, now);
+      // This node is also a witness for its own home, so the frame is handled locally.
+      this.handleHomeFrame(to, frame, now);
     }
   }
 }
--- a/packages/core/src/node/upstream-board.ts
+++ b/packages/core/src/node/local-upstream.ts
@@ -3,65 +3,68 @@
 import type { Configuration } from '../messages/service-configuration.js';
 import type { PollBudget, PollScheduler } from '../probing/poll-scheduler.js';
 import type { ClockReading } from '../shared/clock-reading.js';
-import type { ExecutionBoard } from './execution-board.js';
+import type { ExecutionManager } from './execution-manager.js';
 import type { Outbox } from './outbox.js';
 
-export interface UpstreamBoardOptions {
+export interface LocalUpstreamOptions {
   readonly gate: GateContract;
   readonly polls: PollScheduler;
-  readonly executions: ExecutionBoard;
+  readonly executions: ExecutionManager;
   readonly outbox: Outbox;
 }
 
-/** What the node knows of its own upstream: announcement, configuration and polls. */
-export class UpstreamBoard {
+/**
+ * Applies the announcements, configuration and poll results of this node's own upstream to its
+ * gate.
+ */
+export class LocalUpstream {
   private service: string | undefined;
 
-  public constructor(private readonly options: UpstreamBoardOptions) {}
+  public constructor(private readonly options: LocalUpstreamOptions) {}
 
-  public announce(
+  public onAnnounced(
     announcement: UpstreamAnnouncement,
     configuration: Configuration,
     now: ClockReading,
   ): void {
     const { executions, gate, polls } = this.options;
     this.service = announcement.service;
-    polls.announce(announcement.slots, now);
-    this.configure(configuration, now);
+    polls.setSlots(announcement.slots, now);
+    this.applyConfiguration(configuration, now);
     executions.apply(gate.announce(announcement, now), now);
   }
 
-  public leave(now: ClockReading): void {
+  public onLeft(now: ClockReading): void {
     const { executions, gate, polls } = this.options;
-    polls.announce(0, now);
-    executions.apply(gate.leave(now), now);
+    polls.setSlots(0, now);
+    executions.apply(gate.onUpstreamLeft(now), now);
   }
 
-  public configure({ services }: Configuration, now: ClockReading): void {
+  public applyConfiguration({ services }: Configuration, now: ClockReading): void {
     const { executions, gate, polls } = this.options;
-    const declared = this.service === undefined ? undefined : services[this.service];
-    if (declared !== undefined) {
-      polls.configure(declared.probeBudgetShare, now);
-      executions.apply(gate.configure(declared, now), now);
+    const serviceConfiguration = this.service === undefined ? undefined : services[this.service];
+    if (serviceConfiguration !== undefined) {
+      polls.configure(serviceConfiguration.probeBudgetShare, now);
+      executions.apply(gate.configure(serviceConfiguration, now), now);
     }
   }
 
-  public polled(healthy: boolean, inFlight: number | undefined, now: ClockReading): void {
+  public onPolled(healthy: boolean, inFlight: number | undefined, now: ClockReading): void {
     const { executions, gate, polls } = this.options;
-    polls.polled();
-    executions.apply(gate.polled(healthy, inFlight, now), now);
+    polls.onPollFinished();
+    executions.apply(gate.onPolled(healthy, inFlight, now), now);
   }
 
   public tick(now: ClockReading): void {
     const { executions, gate, outbox, polls } = this.options;
     executions.apply(gate.tick(now), now);
     executions.tick(now);
-    if (polls.due(now)) {
+    if (polls.tryStartPoll(now)) {
       outbox.push({ kind: 'poll-upstream' });
     }
   }
 
-  /** When the next poll of the upstream is due. */
+  /** Monotonic time at which the next poll of the upstream is due. */
   public get nextPollAt(): number {
     return this.options.polls.nextDueAt;
   }
--- a/packages/core/src/node/member-board.ts
+++ b/packages/core/src/node/membership-coordinator.ts
@@ -1,6 +1,6 @@
 import { match } from 'ts-pattern';
 
-import { isLive } from '../membership/member-order.js';
+import { isLive } from '../membership/record-version.js';
 import type { MembershipCommand, MembershipContract } from '../membership/membership-contract.js';
 import type { MemberRecord } from '../messages/member.js';
 import type { NodeIdentity } from '../messages/identity.js';
@@ -10,29 +10,32 @@
 import type { Outbox } from './outbox.js';
 import { targetOf } from './target-of.js';
 
-export interface MemberBoardOptions {
+export interface MembershipCoordinatorOptions {
   readonly identity: NodeIdentity;
   readonly membership: MembershipContract;
   readonly router: RouterContract;
   readonly outbox: Outbox;
-  readonly revisionSeen: (server: string, revision: number, now: ClockReading) => void;
-  /** Called once a tick after changes: going through all members is too dear for each change. */
-  readonly membersChanged: (
+  readonly onRevisionSeen: (server: string, revision: number, now: ClockReading) => void;
+  /**
+   * Called at most once per tick: processing the whole member list on each change would be too
+   * expensive.
+   */
+  readonly onMembersChanged: (
     members: readonly MemberRecord[],
     unreachable: ReadonlySet<string>,
     now: ClockReading,
   ) => void;
 }
 
-/** Carries out what membership decides and keeps the router's targets. */
-export class MemberBoard {
-  private hasChanged = false;
+/** Carries out the commands of the membership subsystem and keeps the router's targets up to date. */
+export class MembershipCoordinator {
+  private hasUnreportedChanges = false;
   private readonly unreachable = new Set<string>();
 
-  public constructor(private readonly options: MemberBoardOptions) {}
+  public constructor(private readonly options: MembershipCoordinatorOptions) {}
 
   public apply(commands: readonly MembershipCommand[], now: ClockReading): void {
-    const { outbox, revisionSeen } = this.options;
+    const { outbox, onRevisionSeen } = this.options;
     for (const command of commands) {
       match(command)
         .with({ kind: 'send' }, ({ address, frame, to }) => {
@@ -43,51 +46,54 @@
           outbox.push({ client, kind: 'store', operation, operationId });
         })
         .with({ kind: 'member-changed' }, ({ member, reachable }) => {
-          this.memberChanged(member, reachable, now);
+          this.onMemberChanged(member, reachable, now);
         })
         .with({ kind: 'revision-seen' }, ({ revision, server }) => {
-          revisionSeen(server, revision, now);
+          onRevisionSeen(server, revision, now);
         })
-        .with({ kind: 'count' }, { kind: 'log' }, (own) => {
-          outbox.push(own);
+        .with({ kind: 'count' }, { kind: 'log' }, (coreCommand) => {
+          outbox.push(coreCommand);
         })
         .exhaustive();
     }
   }
 
   public tick(now: ClockReading): void {
-    const { membership, membersChanged } = this.options;
+    const { membership, onMembersChanged } = this.options;
     this.apply(membership.tick(now), now);
-    if (this.hasChanged) {
-      this.hasChanged = false;
-      membersChanged(membership.members(), this.unreachable, now);
+    if (this.hasUnreportedChanges) {
+      this.hasUnreportedChanges = false;
+      onMembersChanged(membership.members(), this.unreachable, now);
     }
   }
 
-  /** Whether the next tick passes changes of members on. */
-  public get isWaiting(): boolean {
-    return this.hasChanged;
+  /** Whether the next tick will report member changes. */
+  public get hasChanges(): boolean {
+    return this.hasUnreportedChanges;
   }
 
   public isReachable(server: string): boolean {
     return !this.unreachable.has(server);
   }
 
-  /** Live members of the own availability zone, to pass configurations on to. */
+  /**
+   * Returns the live peers in this node's availability zone, to which configurations are
+   * distributed.
+   */
   public zonePeers(): string[] {
     const { identity, membership } = this.options;
     const peers: string[] = [];
     for (const member of membership.members()) {
-      const isNear = member.availabilityZone === identity.availabilityZone;
-      if (isLive(member) && isNear && member.server !== identity.server) {
+      const isInSameZone = member.availabilityZone === identity.availabilityZone;
+      if (isLive(member) && isInSameZone && member.server !== identity.server) {
         peers.push(member.server);
       }
     }
     return peers;
   }
 
-  private memberChanged(member: MemberRecord, reachable: boolean, now: ClockReading): void {
-    this.hasChanged = true;
+  private onMemberChanged(member: MemberRecord, reachable: boolean, now: ClockReading): void {
+    this.hasUnreportedChanges = true;
     if (reachable) {
       this.unreachable.delete(member.server);
     } else {
--- a/packages/core/src/node/node-core.ts
+++ b/packages/core/src/node/node-core.ts
@@ -16,17 +16,20 @@
 import type { PollBudget } from '../probing/poll-scheduler.js';
 import type { ClockReading } from '../shared/clock-reading.js';
 import { assertInvariant } from '../shared/invariant-error.js';
-import { createBoards } from './node-boards.js';
-import type { NodeBoards } from './node-boards.js';
-import type { NodeCoreOptions, NodeParts } from './node-parts.js';
+import { createComponents } from './node-components.js';
+import type { NodeComponents } from './node-components.js';
+import type { NodeCoreOptions, NodeSubsystems } from './node-subsystems.js';
 
-/** Time between ticks while anything waits for one; hedges and queued requests depend on it. */
+/**
+ * Tick interval while work is in progress; it determines the timing resolution of hedges and queued
+ * requests.
+ */
 const tickMilliseconds = 10;
 /**
- * Longest time between ticks. The entry clock takes a gap of 100 ms for a pause of the process, so a
- * quiet node needs ticks well within that.
+ * Longest tick interval. The entry clock interprets a gap of 100 ms as a pause of the process, so an
+ * idle node must tick well within that.
  */
-const quietTickMilliseconds = 50;
+const idleTickMilliseconds = 50;
 
 type PeerMessage = Extract<
   CoreMessage,
@@ -36,62 +39,62 @@
 type UpstreamMessage = Extract<CoreMessage, { readonly kind: `upstream-${string}` }>;
 
 /**
- * Every decision of one node. A driver delivers messages with a clock reading and carries out the
- * commands that come back, in their order.
+ * Makes all decisions of one node, without I/O. A driver delivers messages with a clock reading and
+ * carries out the returned commands in order.
  */
 export class NodeCore {
-  private readonly boards: NodeBoards;
+  private readonly components: NodeComponents;
   private readonly entryClock = new EntryClock();
   private lastTickAt = Number.NEGATIVE_INFINITY;
 
   public constructor(private readonly options: NodeCoreOptions) {
-    this.boards = createBoards(options);
+    this.components = createComponents(options);
   }
 
-  /** Takes one message and returns what is to be done. */
+  /** Handles one message and returns the commands to carry out. */
   public handle(message: CoreMessage, now: ClockReading): readonly CoreCommand[] {
-    this.dispatch(message, now);
-    return this.boards.outbox.take();
+    this.handleMessage(message, now);
+    return this.components.outbox.take();
   }
 
   /**
-   * Monotonic time by which the driver delivers the next tick. Any message may bring it forward, so the
-   * driver asks after each.
+   * Monotonic time by which the driver must deliver the next tick. Any message may move it earlier, so
+   * the driver reads it after each message.
    */
   public get nextTickAt(): number {
     const earliest = this.lastTickAt + tickMilliseconds;
-    if (this.isWaiting) return earliest;
+    if (this.hasWorkInProgress) return earliest;
     const { configuration, homes, membership } = this.options;
-    const needed = Math.min(
-      this.boards.upstream.nextPollAt,
+    const neededAt = Math.min(
+      this.components.localUpstream.nextPollAt,
       membership.nextTickAt,
       configuration.nextTickAt,
       homes.nextTickAt,
     );
-    return Math.max(earliest, Math.min(needed, this.lastTickAt + quietTickMilliseconds));
+    return Math.max(earliest, Math.min(neededAt, this.lastTickAt + idleTickMilliseconds));
   }
 
-  /** The parts, for operators' questions. */
-  public get parts(): NodeParts {
+  /** The subsystems, read by the operators' interface. */
+  public get subsystems(): NodeSubsystems {
     return this.options;
   }
 
-  /** False while the member's availability zone or region can't be reached. */
+  /** Returns false while the member's availability zone or region cannot be reached. */
   public isReachable(server: string): boolean {
-    return this.boards.members.isReachable(server);
+    return this.components.members.isReachable(server);
   }
 
   public get isStopping(): boolean {
-    return this.boards.stop.isStopping;
+    return this.components.shutdown.isStopping;
   }
 
   public pollBudget(now: ClockReading): PollBudget {
-    return this.boards.upstream.pollBudget(now);
+    return this.components.localUpstream.pollBudget(now);
   }
 
-  /** Whether anything is in progress whose times are looked at in every tick. */
-  private get isWaiting(): boolean {
-    const { calls, configuration, executions, keyed, members, stop } = this.boards;
+  /** Whether any work is in progress whose timers are checked on every tick. */
+  private get hasWorkInProgress(): boolean {
+    const { calls, configuration, executions, keyedRequests, members, shutdown } = this.components;
     const { membership, router } = this.options;
     if (
       calls.inProgress + executions.size > 0 ||
@@ -99,56 +102,56 @@
     ) {
       return true;
     }
-    return keyed.isWaiting || members.isWaiting || stop.isStopping || router.isProbing;
+    return keyedRequests.hasWork || members.hasChanges || shutdown.isStopping || router.isProbing;
   }
 
-  private dispatch(message: CoreMessage, now: ClockReading): void {
-    const { calls, configuration, keyed, stop } = this.boards;
+  private handleMessage(message: CoreMessage, now: ClockReading): void {
+    const { calls, configuration, keyedRequests, shutdown } = this.components;
     switch (message.kind) {
       case 'tick':
-        this.tick(now);
+        this.handleTick(now);
         return;
       case 'caller-request':
-        this.callerRequest(message, now);
+        this.handleCallerRequest(message, now);
         return;
       case 'caller-gone':
-        calls.callerGone(message.requestNumber, now);
-        keyed.callerGone(message.requestNumber);
+        calls.onCallerDisconnected(message.requestNumber, now);
+        keyedRequests.onCallerDisconnected(message.requestNumber);
         return;
       case 'peer-frame':
       case 'frame-not-sent':
       case 'peer-lost':
-        this.peerMessage(message, now);
+        this.handlePeerMessage(message, now);
         return;
       case 'relay-finished':
         if (message.to.kind === 'caller') {
-          calls.streamFinished(message.to.requestNumber);
+          calls.onStreamFinished(message.to.requestNumber);
         }
         return;
       case 'store-result':
-        this.storeResult(message, now);
+        this.handleStoreResult(message, now);
         return;
       case 'propose-configuration':
         configuration.apply(this.options.configuration.propose(message, now), now);
         return;
       case 'ask-key':
-        keyed.ask(message, now);
+        keyedRequests.queryKeyState(message, now);
         return;
       case 'stop':
-        stop.begin(now);
+        shutdown.begin(now);
         return;
       default:
-        this.upstreamMessage(message, now);
+        this.handleUpstreamMessage(message, now);
     }
   }
 
-  private callerRequest(request: CallerRequestMessage, now: ClockReading): void {
+  private handleCallerRequest(request: CallerRequestMessage, now: ClockReading): void {
     const { body, deadlineMilliseconds, digest, head, key, requestNumber } = request;
     const { requestClass, streamedBody } = request;
     if (requestClass === RequestClass.Idempotent) {
       const owner = { kind: 'caller', requestNumber } as const;
       const call = { body, head, owner, requestClass, streamedBody };
-      this.boards.calls.begin(call, deadlineMilliseconds, now);
+      this.components.calls.begin(call, deadlineMilliseconds, now);
       return;
     }
     assertInvariant(
@@ -157,61 +160,61 @@
     );
     const deadline = now.monotonic + deadlineMilliseconds;
     const whole = body ?? new Uint8Array();
-    const receivedAt = this.entryClock.receivedAt(now);
-    const keyed = { body: whole, deadline, digest, head, key, receivedAt, requestNumber };
-    this.boards.keyed.begin(keyed, now);
+    const receivedAt = this.entryClock.arrivalTime(now);
+    const keyedRequest = { body: whole, deadline, digest, head, key, receivedAt, requestNumber };
+    this.components.keyedRequests.begin(keyedRequest, now);
   }
 
-  private peerMessage(message: PeerMessage, now: ClockReading): void {
-    const { calls, executions, keyed, members } = this.boards;
+  private handlePeerMessage(message: PeerMessage, now: ClockReading): void {
+    const { calls, executions, keyedRequests, members } = this.components;
     switch (message.kind) {
       case 'peer-frame':
-        this.frame(message.from, message.frame, now);
+        this.handleFrame(message.from, message.frame, now);
         return;
       case 'frame-not-sent':
         if (message.frame.kind === 'request-start') {
-          calls.notSent(message.frame.callId, message.congested, now);
+          calls.onNotSent(message.frame.callId, message.congested, now);
         } else if (message.frame.kind === 'keyed-request') {
-          keyed.notSent(message.frame.callId, now);
+          keyedRequests.onNotSent(message.frame.callId, now);
         }
         return;
       case 'peer-lost':
-        executions.peerLost(message.server);
-        calls.peerLost(message.server, now);
-        keyed.peerLost(message.server, now);
-        members.apply(this.options.membership.peerLost(message.server, now), now);
+        executions.onPeerLost(message.server);
+        calls.onPeerLost(message.server, now);
+        keyedRequests.onPeerLost(message.server, now);
+        members.apply(this.options.membership.onPeerLost(message.server, now), now);
     }
   }
 
-  private upstreamMessage(message: UpstreamMessage, now: ClockReading): void {
-    const { drains, executions, members, upstream } = this.boards;
+  private handleUpstreamMessage(message: UpstreamMessage, now: ClockReading): void {
+    const { drainController, executions, members, localUpstream } = this.components;
     const { configuration, membership } = this.options;
     switch (message.kind) {
       case 'upstream-announced':
-        upstream.announce(message.announcement, configuration.inForce, now);
+        localUpstream.onAnnounced(message.announcement, configuration.inForce, now);
         members.apply(membership.announce(message.announcement, now), now);
-        drains.upstreamAnnounced(now);
+        drainController.onUpstreamAnnounced(now);
         return;
       case 'upstream-drain':
-        drains.setUpstreamDraining(message.draining, now);
+        drainController.setUpstreamDraining(message.draining, now);
         return;
       case 'upstream-left':
-        upstream.leave(now);
-        drains.upstreamLeft(now);
+        localUpstream.onLeft(now);
+        drainController.onUpstreamLeft(now);
         return;
       case 'upstream-result':
-        executions.upstreamResult(message.executionId, message.result, now);
+        executions.handleUpstreamResult(message.executionId, message.result, now);
         return;
       case 'upstream-finished':
-        executions.upstreamFinished(message.executionId, message.complete, now);
+        executions.onUpstreamFinished(message.executionId, message.complete, now);
         return;
       case 'upstream-polled':
-        upstream.polled(message.healthy, message.inFlight, now);
+        localUpstream.onPolled(message.healthy, message.inFlight, now);
     }
   }
 
-  private frame(from: string, frame: CoreFrame, now: ClockReading): void {
-    const { calls, executions, keyed, outbox } = this.boards;
+  private handleFrame(from: string, frame: CoreFrame, now: ClockReading): void {
+    const { calls, executions, keyedRequests, outbox } = this.components;
     const { gate, router } = this.options;
     switch (frame.kind) {
       case 'request-start':
@@ -224,85 +227,89 @@
       case 'request-admitted':
       case 'request-failed':
       case 'request-refused':
-        calls.frame(from, frame, now);
+        calls.handleFrame(from, frame, now);
         return;
       case 'keyed-request':
       case 'keyed-outcome':
       case 'key-question':
       case 'key-answer':
-        keyed.keyedFrame(from, frame, now);
+        keyedRequests.handleKeyedFrame(from, frame, now);
         return;
       case 'load-probe':
-        outbox.reply(from, { kind: 'load-report', load: gate.load(now) });
+        outbox.reply(from, { kind: 'load-report', load: gate.loadReport(now) });
         return;
       case 'load-report':
         if (frame.load !== undefined) {
-          router.reported(from, frame.load, now);
+          router.onLoadReport(from, frame.load, now);
         }
         return;
       default:
-        this.controlFrame(from, frame, now);
+        this.handleControlFrame(from, frame, now);
     }
   }
 
-  private controlFrame(from: string, frame: ControlFrame, now: ClockReading): void {
-    const { configuration, keyed, members } = this.boards;
-    const { configuration: keeper, membership } = this.options;
+  private handleControlFrame(from: string, frame: ControlFrame, now: ClockReading): void {
+    const { configuration, keyedRequests, members } = this.components;
+    const { configuration: configurationSubsystem, membership } = this.options;
     switch (frame.kind) {
       case 'configuration-announcement':
       case 'configuration-push':
       case 'configuration-pull':
-        configuration.apply(keeper.frame(from, frame, now), now);
+        configuration.apply(configurationSubsystem.handleFrame(from, frame, now), now);
         return;
       case 'ping':
       case 'acknowledgement':
       case 'ping-request':
       case 'member-updates':
       case 'member-sync':
-        members.apply(membership.frame(from, frame, now), now);
+        members.apply(membership.onFrame(from, frame, now), now);
         return;
       default:
-        keyed.homeFrame(from, frame, now);
+        keyedRequests.handleHomeFrame(from, frame, now);
     }
   }
 
-  private storeResult(message: StoreResultMessage, now: ClockReading): void {
-    const { configuration: keeper, membership } = this.options;
-    const { configuration, keyed, members } = this.boards;
+  private handleStoreResult(message: StoreResultMessage, now: ClockReading): void {
+    const { configuration: configurationSubsystem, membership } = this.options;
+    const { configuration, keyedRequests, members } = this.components;
     const { client, operationId, result } = message;
     switch (client) {
       case StoreClient.Configuration:
-        configuration.apply(keeper.storeResult(operationId, result, now), now);
+        configuration.apply(configurationSubsystem.storeResult(operationId, result, now), now);
         return;
       case StoreClient.Homes:
-        keyed.storeResult(operationId, result, now);
+        keyedRequests.handleStoreResult(operationId, result, now);
         return;
       case StoreClient.Membership:
         members.apply(membership.storeResult(operationId, result, now), now);
     }
   }
 
-  private tick(now: ClockReading): void {
+  private handleTick(now: ClockReading): void {
     this.lastTickAt = now.monotonic;
     this.entryClock.tick(now);
-    const { calls, configuration, keyed, members, outbox, stop, upstream } = this.boards;
+    const { calls, configuration, keyedRequests, members, outbox, shutdown, localUpstream } =
+      this.components;
     const { identity, membership, router } = this.options;
-    upstream.tick(now);
+    localUpstream.tick(now);
     calls.tick(now);
     members.tick(now);
     configuration.tick(membership.isBridge, now);
-    keyed.tick(now);
-    for (const { server, service } of router.dueForProbe(now)) {
+    keyedRequests.tick(now);
+    for (const { server, service } of router.targetsDueForProbe(now)) {
       if (server === identity.server) this.probeOwnGate(now);
       else outbox.send(server, { kind: 'load-probe', service });
     }
-    stop.tick(now);
+    shutdown.tick(now);
   }
 
-  /** A frame would open a connection of the node to itself. */
+  /**
+   * Reads the gate directly, because sending a frame would open a connection from the node to
+   * itself.
+   */
   private probeOwnGate(now: ClockReading): void {
     const { gate, identity, router } = this.options;
-    const load = gate.load(now);
-    if (load !== undefined) router.reported(identity.server, load, now);
+    const load = gate.loadReport(now);
+    if (load !== undefined) router.onLoadReport(identity.server, load, now);
   }
 }
--- a/packages/core/src/node/outbox.ts
+++ b/packages/core/src/node/outbox.ts
@@ -1,7 +1,7 @@
 import type { AttemptStep, CoreCommand, LogCommand } from '../messages/core-command.js';
 import type { CoreFrame } from '../messages/frames.js';
 
-/** Names of the counters that the core raises. */
+/** Metric names of the counters that the core increments. */
 export const CounterName = {
   Admitted: 'gate_admitted',
   LateResults: 'late_results',
@@ -12,7 +12,7 @@
 } as const;
 export type CounterName = (typeof CounterName)[keyof typeof CounterName];
 
-/** Collects the commands that one message leads to. */
+/** Collects the commands that result from one message. */
 export class Outbox {
   private commands: CoreCommand[] = [];
 
@@ -22,7 +22,7 @@
     this.commands.push(command);
   }
 
-  /** Sends a frame to a known member. Returns false when its address is not known. */
+  /** Sends a frame to a member. Returns false if its address is unknown. */
   public send(to: string, frame: CoreFrame): boolean {
     const address = this.addressOf(to);
     if (address === undefined) {
@@ -32,7 +32,10 @@
     return true;
   }
 
-  /** Answers a server; one that is not known yet is answered on the connection that it opened. */
+  /**
+   * Sends a frame to a server that sent one. If its address is still unknown, the frame goes over
+   * the connection that it opened.
+   */
   public reply(to: string, frame: CoreFrame): void {
     this.commands.push({ address: this.addressOf(to) ?? '', frame, kind: 'send-frame', to });
   }
@@ -49,7 +52,7 @@
     this.commands.push({ event, fields, kind: 'log', level });
   }
 
-  /** Returns what was collected and starts afresh. */
+  /** Returns the collected commands and clears the outbox. */
   public take(): readonly CoreCommand[] {
     const { commands } = this;
     this.commands = [];
--- a/packages/core/src/node/stop-sequence.ts
+++ b/packages/core/src/node/shutdown-sequence.ts
@@ -1,30 +1,33 @@
 import type { ClockReading } from '../shared/clock-reading.js';
 import type { Outbox } from './outbox.js';
 
-/** Time for the last frames to leave before the process ends. */
-const farewellMilliseconds = 200;
+/** Time for the last frames to be sent before the process ends. */
+const leaveFlushMilliseconds = 200;
 
-export interface StopSequenceOptions {
+export interface ShutdownSequenceOptions {
   readonly beginDraining: (now: ClockReading) => void;
   readonly handOver: (now: ClockReading) => void;
   readonly leave: (now: ClockReading) => void;
-  /** Requests and streams that are not finished. */
+  /** Number of unfinished requests and streams. */
   readonly inProgress: () => number;
   readonly outbox: Outbox;
 }
 
-type StopPhase =
+type ShutdownPhase =
   | { readonly kind: 'running' }
   | { readonly kind: 'handing-over' }
   | { readonly kind: 'finishing' }
-  | { readonly kind: 'leaving'; readonly since: number }
+  | { readonly kind: 'leaving'; readonly startedAt: number }
   | { readonly kind: 'stopped' };
 
-/** A planned stop: drain, hand key records over, finish what runs, tell the others, end. */
-export class StopSequence {
-  private phase: StopPhase = { kind: 'running' };
+/**
+ * Graceful shutdown: drains, hands over key records, finishes running requests, announces the leave
+ * to other nodes and ends.
+ */
+export class ShutdownSequence {
+  private phase: ShutdownPhase = { kind: 'running' };
 
-  public constructor(private readonly options: StopSequenceOptions) {}
+  public constructor(private readonly options: ShutdownSequenceOptions) {}
 
   public get isStopping(): boolean {
     return this.phase.kind !== 'running';
@@ -40,8 +43,8 @@
     this.options.handOver(now);
   }
 
-  /** The homes of this node have nothing left to hand over. */
-  public handedOver(now: ClockReading): void {
+  /** This node's homes have handed over all their ranges and records. */
+  public onHandedOver(now: ClockReading): void {
     if (this.phase.kind === 'handing-over') {
       this.phase = { kind: 'finishing' };
       this.options.outbox.log('info', 'stop-handed-over', {});
@@ -52,10 +55,13 @@
   public tick(now: ClockReading): void {
     if (this.phase.kind === 'finishing' && this.options.inProgress() === 0) {
       this.options.leave(now);
-      this.phase = { kind: 'leaving', since: now.monotonic };
+      this.phase = { kind: 'leaving', startedAt: now.monotonic };
       return;
     }
-    if (this.phase.kind === 'leaving' && now.monotonic - this.phase.since >= farewellMilliseconds) {
+    if (
+      this.phase.kind === 'leaving' &&
+      now.monotonic - this.phase.startedAt >= leaveFlushMilliseconds
+    ) {
       this.phase = { kind: 'stopped' };
       this.options.outbox.push({ kind: 'stopped' });
     }
--- a/packages/core/src/node/target-of.ts
+++ b/packages/core/src/node/target-of.ts
@@ -2,7 +2,7 @@
 import type { MemberRecord } from '../messages/member.js';
 import type { Target } from '../routing/router-contract.js';
 
-/** The target that a member offers, or nothing when it serves no requests. */
+/** Returns the routing target for a member, or undefined if it does not serve requests. */
 export function targetOf(member: MemberRecord): Target | undefined {
   const { service, state } = member;
   const isGone = state === MemberState.Dead || state === MemberState.Left;
--- a/packages/core/src/probing/poll-scheduler.ts
+++ b/packages/core/src/probing/poll-scheduler.ts
@@ -3,19 +3,21 @@
 
 /** Settings of {@link PollScheduler}. */
 export interface PollSettings {
-  /** Time that one request to a health or load endpoint takes. */
+  /** Time that one request to a health or load endpoint takes at the upstream. */
   readonly requestMilliseconds: number;
-  /** Requests that one poll makes: health and load. */
+  /** Requests per poll: one for health and one for load. */
   readonly requestsPerPoll: number;
-  /** Slots that a request takes for that time; all of the upstream's slots if undefined. */
+  /** Slots that such a request occupies for that time; all slots of the upstream if undefined. */
   readonly slotsPerRequest: number | undefined;
-  /** Shortest time between two polls, whatever the budget allows. */
+  /** Minimum time between the starts of two polls, even if the budget allows more. */
   readonly minimumIntervalMilliseconds: number;
-  /** Time after which a poll that was not concluded no longer holds back the next one. */
+  /** Time after which a poll that has not finished no longer delays the next one. */
   readonly abandonedAfterMilliseconds: number;
 }
 
-/** Defaults of polling: a probe is stated to take 6 ms on all slots of its upstream. */
+/**
+ * Defaults of {@link PollSettings}: as specified, a request takes 6 ms on all slots of the upstream.
+ */
 export const defaultPollSettings: PollSettings = {
   abandonedAfterMilliseconds: 10_000,
   minimumIntervalMilliseconds: 1_000,
@@ -24,76 +26,81 @@
   slotsPerRequest: undefined,
 };
 
-/** What polling may have taken and has taken of the upstream's capacity, for counters. */
+/** Slot time of the upstream that polling was allowed to use and has used, for counters. */
 export interface PollBudget {
   readonly allowedSlotMilliseconds: number;
   readonly spentSlotMilliseconds: number;
 }
 
 /**
- * Token bucket in slot-milliseconds of the upstream. It starts empty and holds one poll at most, so
- * what was spent never exceeds what was allowed, and idle time buys no burst of polls.
+ * Schedules polls of the upstream with a token bucket in slot-milliseconds. The bucket starts empty and
+ * holds the cost of one poll at most, so the slot time spent never exceeds the budget, and unused budget
+ * does not accumulate to a burst of polls.
  */
 export class PollScheduler {
   private share = serviceDefaults.probeBudgetShare;
   private slots = 0;
   private accruedUntil = 0;
   private tokens = 0;
-  private allowed = 0;
-  private spent = 0;
+  private allowedSlotMilliseconds = 0;
+  private spentSlotMilliseconds = 0;
   private lastPollAt = Number.NEGATIVE_INFINITY;
-  private inProgress = false;
+  private isPollInProgress = false;
 
   public constructor(private readonly settings: PollSettings = defaultPollSettings) {}
 
-  /** Sets the share of slot-time for polls; what has accrued so far stays as it is. */
+  /** Sets the share of slot time for polls; tokens accrued so far are kept. */
   public configure(probeBudgetShare: number, now: ClockReading): void {
     this.accrue(now.monotonic);
     this.share = probeBudgetShare;
   }
 
-  /** Sets the announced slots, 0 while there is no upstream. */
-  public announce(slots: number, now: ClockReading): void {
+  /** Sets the announced slots; 0 if there is no upstream. */
+  public setSlots(slots: number, now: ClockReading): void {
     this.accrue(now.monotonic);
     this.slots = slots;
     this.tokens = Math.min(this.tokens, this.pollCost);
   }
 
-  /** Returns true and charges the budget if the upstream is to be polled now. */
-  public due(now: ClockReading): boolean {
+  /** If a poll is due, charges the budget and returns true; the caller must then poll the upstream. */
+  public tryStartPoll(now: ClockReading): boolean {
     const time = now.monotonic;
     this.accrue(time);
     const cost = this.pollCost;
-    const wait = this.inProgress
+    const wait = this.isPollInProgress
       ? this.settings.abandonedAfterMilliseconds
       : this.settings.minimumIntervalMilliseconds;
     if (this.slots === 0 || this.tokens < cost || time - this.lastPollAt < wait) return false;
     this.tokens -= cost;
-    this.spent += cost;
+    this.spentSlotMilliseconds += cost;
     this.lastPollAt = time;
-    this.inProgress = true;
+    this.isPollInProgress = true;
     return true;
   }
 
-  /** When the next poll is due. */
+  /** Monotonic time at which the next poll is due. */
   public get nextDueAt(): number {
     if (this.slots === 0) return Number.POSITIVE_INFINITY;
     const { abandonedAfterMilliseconds, minimumIntervalMilliseconds } = this.settings;
-    const wait = this.inProgress ? abandonedAfterMilliseconds : minimumIntervalMilliseconds;
+    const wait = this.isPollInProgress ? abandonedAfterMilliseconds : minimumIntervalMilliseconds;
     const lacking = Math.max(0, this.pollCost - this.tokens);
-    const paidAt = lacking === 0 ? 0 : this.accruedUntil + lacking / (this.share * this.slots);
-    return Math.max(this.lastPollAt + wait, paidAt);
+    const affordableAt =
+      lacking === 0 ? 0 : this.accruedUntil + lacking / (this.share * this.slots);
+    return Math.max(this.lastPollAt + wait, affordableAt);
   }
 
-  /** The poll that was due has ended. */
-  public polled(): void {
-    this.inProgress = false;
+  /** Records that the poll in progress has finished. */
+  public onPollFinished(): void {
+    this.isPollInProgress = false;
   }
 
-  /** Both counters; what was allowed includes tokens that the full bucket did not take up. */
+  /** Totals so far; the allowed slot time includes tokens that did not fit into the full bucket. */
   public budget(now: ClockReading): PollBudget {
     this.accrue(now.monotonic);
-    return { allowedSlotMilliseconds: this.allowed, spentSlotMilliseconds: this.spent };
+    return {
+      allowedSlotMilliseconds: this.allowedSlotMilliseconds,
+      spentSlotMilliseconds: this.spentSlotMilliseconds,
+    };
   }
 
   private get pollCost(): number {
@@ -105,7 +112,7 @@
     const elapsed = Math.max(0, now - this.accruedUntil);
     this.accruedUntil = Math.max(this.accruedUntil, now);
     const accrued = elapsed * this.share * this.slots;
-    this.allowed += accrued;
+    this.allowedSlotMilliseconds += accrued;
     this.tokens = Math.min(this.pollCost, this.tokens + accrued);
   }
 }
--- a/packages/core/src/routing/baseline-policies.ts
+++ b/packages/core/src/routing/baseline-policies.ts
@@ -3,7 +3,7 @@
 import type { SelectionPolicy, SelectionScope } from './selection-policy.js';
 import type { TargetState } from './target-state.js';
 
-/** Any target with the same probability. */
+/** Chooses among all targets with equal probability. */
 export class RandomPolicy implements SelectionPolicy {
   public readonly name = 'random';
 
@@ -14,7 +14,10 @@
   }
 }
 
-/** One target after the other, from a random start so that entries do not move in step. */
+/**
+ * Cycles through the targets, from a random start so that entries don't send to the same one at
+ * once.
+ */
 export class RoundRobinPolicy implements SelectionPolicy {
   public readonly name = 'round robin';
   private position: number;
@@ -34,7 +37,10 @@
   }
 }
 
-/** The target with the fewest requests of this entry. It scans all targets and serves comparison only. */
+/**
+ * Chooses the target with the fewest outstanding requests of this entry. It scans all targets and is
+ * only a baseline for comparison.
+ */
 export class LeastInFlightPolicy implements SelectionPolicy {
   public readonly name = 'least in-flight';
 
@@ -53,7 +59,7 @@
   }
 }
 
-/** The better of two random targets by the requests of this entry. */
+/** Chooses the one of two random targets with fewer outstanding requests of this entry. */
 export class TwoChoicesPolicy implements SelectionPolicy {
   public readonly name = 'two choices';
 
--- a/packages/core/src/routing/latency-histogram.ts
+++ b/packages/core/src/routing/latency-histogram.ts
@@ -1,20 +1,20 @@
-const smallestMilliseconds = 0.1;
-const growth = 1.1;
-const logarithmOfGrowth = Math.log(growth);
+const lowestBucketMilliseconds = 0.1;
+const bucketGrowthFactor = 1.1;
+const logarithmOfGrowthFactor = Math.log(bucketGrowthFactor);
 /** Covers 0.1 ms to about 60 s. */
 const bucketCount = 140;
-/** Counts are halved after this many samples, so that the quantiles follow the recent load. */
+/** The counts are halved after this many samples, so that recent samples dominate the quantiles. */
 const samplesPerHalving = 2_048;
-/** Below this number of samples no quantile is given. */
+/** With fewer samples, quantiles are undefined. */
 const minimumSamples = 20;
-/** A computed quantile is kept for this many samples, because it is read once for each call. */
+/** A quantile is cached for this many samples, because every call reads it. */
 const samplesPerCachedQuantile = 32;
 
-/** Recent latencies of a service in buckets 10 % apart. */
+/** Histogram of the recent latencies of a service; bucket bounds grow by 10 %. */
 export class LatencyHistogram {
   private readonly counts = new Float64Array(bucketCount);
   private total = 0;
-  private sinceHalving = 0;
+  private samplesSinceHalving = 0;
   private version = 0;
   private readonly cache = new Map<number, { readonly version: number; readonly value: number }>();
 
@@ -23,11 +23,11 @@
     this.counts[bucket] = (this.counts[bucket] ?? 0) + 1;
     this.total += 1;
     this.version += 1;
-    this.sinceHalving += 1;
-    if (this.sinceHalving >= samplesPerHalving) this.halve();
+    this.samplesSinceHalving += 1;
+    if (this.samplesSinceHalving >= samplesPerHalving) this.halve();
   }
 
-  /** The upper bound of the bucket that holds the quantile; undefined while too little is known. */
+  /** Upper bound of the bucket that holds the quantile; undefined while there are too few samples. */
   public quantile(quantile: number): number | undefined {
     if (this.total < minimumSamples) return undefined;
     const cached = this.cache.get(quantile);
@@ -40,17 +40,18 @@
   }
 
   private computeQuantile(quantile: number): number {
-    const wanted = quantile * this.total;
-    let seen = 0;
+    const targetCount = quantile * this.total;
+    let cumulativeCount = 0;
     for (let bucket = 0; bucket < bucketCount; bucket += 1) {
-      seen += this.counts[bucket] ?? 0;
-      if (seen >= wanted) return smallestMilliseconds * growth ** (bucket + 1);
+      cumulativeCount += this.counts[bucket] ?? 0;
+      if (cumulativeCount >= targetCount)
+        return lowestBucketMilliseconds * bucketGrowthFactor ** (bucket + 1);
     }
-    return smallestMilliseconds * growth ** bucketCount;
+    return lowestBucketMilliseconds * bucketGrowthFactor ** bucketCount;
   }
 
   private halve(): void {
-    this.sinceHalving = 0;
+    this.samplesSinceHalving = 0;
     this.total = 0;
     for (let bucket = 0; bucket < bucketCount; bucket += 1) {
       const halved = (this.counts[bucket] ?? 0) / 2;
@@ -61,7 +62,9 @@
 }
 
 function bucketOf(milliseconds: number): number {
-  if (milliseconds <= smallestMilliseconds) return 0;
-  const bucket = Math.floor(Math.log(milliseconds / smallestMilliseconds) / logarithmOfGrowth);
+  if (milliseconds <= lowestBucketMilliseconds) return 0;
+  const bucket = Math.floor(
+    Math.log(milliseconds / lowestBucketMilliseconds) / logarithmOfGrowthFactor,
+  );
   return Math.min(bucketCount - 1, bucket);
 }
--- a/packages/core/src/routing/router-contract.ts
+++ b/packages/core/src/routing/router-contract.ts
@@ -10,28 +10,28 @@
   readonly region: string;
   readonly service: string;
   readonly slots: number;
-  /** Draining targets are only chosen when there is no other. */
+  /** A draining target is chosen only when no other target is available. */
   readonly draining: boolean;
 }
 
-export const AttemptEnd = {
+export const AttemptOutcome = {
   Answered: 'answered',
   Cancelled: 'cancelled',
   Failed: 'failed',
   Refused: 'refused',
   Unreachable: 'unreachable',
 } as const;
-export type AttemptEnd = (typeof AttemptEnd)[keyof typeof AttemptEnd];
+export type AttemptOutcome = (typeof AttemptOutcome)[keyof typeof AttemptOutcome];
 
-/** Chooses the target of each attempt from what this node knows of their load. */
+/** Chooses the target of each attempt by the load and the results that this node has observed. */
 export interface RouterContract {
-  /** Replaces what is known of one target, or adds it. A higher incarnation starts afresh. */
+  /** Adds or updates a target. A higher incarnation starts without the history of the earlier one. */
   upsert(target: Target, now: ClockReading): void;
   remove(server: string): void;
   targets(service: string): readonly Target[];
   /**
-   * `avoidTrial` is set for calls that can't be repeated: they become the trial request of a shunned
-   * target only when no other call did so for a time.
+   * `avoidTrial` is set for calls that can't be sent again: they become the trial request of an ejected
+   * target only when a trial has been due for some time and no other call took it.
    */
   choose(
     service: string,
@@ -39,15 +39,20 @@
     now: ClockReading,
     avoidTrial?: boolean,
   ): Target | undefined;
-  /** The named server if it serves the service, is in the ordinary choice and seems to have room. */
+  /** The named server if it serves the service, is neither ejected nor draining, and has capacity. */
   chooseServer(service: string, server: string, now: ClockReading): Target | undefined;
-  sent(server: string, now: ClockReading): void;
-  reported(server: string, load: LoadReport, now: ClockReading): void;
-  concluded(server: string, end: AttemptEnd, latencyMilliseconds: number, now: ClockReading): void;
-  /** Latency of the service at the given quantile, for hedging; undefined while too little is known. */
+  onSent(server: string, now: ClockReading): void;
+  onLoadReport(server: string, load: LoadReport, now: ClockReading): void;
+  onAttemptEnded(
+    server: string,
+    outcome: AttemptOutcome,
+    latencyMilliseconds: number,
+    now: ClockReading,
+  ): void;
+  /** Latency of the service at a quantile, for hedging; undefined while there are too few samples. */
   latencyQuantile(service: string, quantile: number): number | undefined;
-  /** Targets from which nothing was heard for a time and which are due for a probe to their gate. */
-  dueForProbe(now: ClockReading): readonly Target[];
-  /** Whether targets may become due for a probe, because their service was used lately. */
+  /** Targets whose gates have not reported for some time and should be probed for their load. */
+  targetsDueForProbe(now: ClockReading): readonly Target[];
+  /** Whether targets may become due for a probe, because their service was used recently. */
   readonly isProbing: boolean;
 }
--- a/packages/core/src/routing/router-options.ts
+++ b/packages/core/src/routing/router-options.ts
@@ -1,25 +1,25 @@
-import type { ZoneView } from './power-of-choices-policy.js';
+import type { ZoneTopology } from './power-of-choices-policy.js';
 import type { SelectionPolicy } from './selection-policy.js';
 
-/** One-way delay to another availability zone when the settings state none. */
+/** One-way delay to another availability zone if the settings contain none. */
 const defaultZoneDelayMilliseconds = 1;
 
-/** Where the entry is, and what may be varied in measurements. */
+/** Location of the entry, and options that benchmarks vary. */
 export interface RouterOptions {
   readonly availabilityZone: string;
   readonly region: string;
-  /** One-way delays to other availability zones. */
+  /** One-way delays to other availability zones in milliseconds. */
   readonly zoneDelays?: Readonly<Record<string, number>>;
-  /** Defaults to power of choices. */
+  /** Defaults to `PowerOfChoicesPolicy`. */
   readonly policy?: SelectionPolicy;
-  /** Whether slow and failing targets leave the choice; true by default. */
-  readonly shunning?: boolean;
-  /** Time over which a new target's share grows; 0 gives it the full share at once. */
+  /** Whether slow and failing targets are ejected; true by default. */
+  readonly outlierEjection?: boolean;
+  /** Time over which the share of a new target grows; 0 gives it the full share at once. */
   readonly rampMilliseconds?: number;
 }
 
-/** Delays to availability zones as the settings state them. */
-export function zoneView(options: RouterOptions): ZoneView {
+/** Returns the delays from the settings, with the default for zones that the settings omit. */
+export function createZoneTopology(options: RouterOptions): ZoneTopology {
   return {
     availabilityZone: options.availabilityZone,
     delayTo: (zone) =>
--- a/packages/core/src/routing/router.ts
+++ b/packages/core/src/routing/router.ts
@@ -3,32 +3,41 @@
 import type { ClockReading } from '../shared/clock-reading.js';
 import type { RandomSource } from '../shared/random-source.js';
 import { PowerOfChoicesPolicy } from './power-of-choices-policy.js';
-import { recordResult } from './record-result.js';
-import type { AttemptEnd, RouterContract, Target } from './router-contract.js';
-import { zoneView } from './router-options.js';
+import { recordAttemptOutcome } from './record-attempt-outcome.js';
+import type { AttemptOutcome, RouterContract, Target } from './router-contract.js';
+import { createZoneTopology } from './router-options.js';
 import type { RouterOptions } from './router-options.js';
 import { ServiceTargets } from './service-targets.js';
-import { areFailuresUsual, isFailure, judgeResult, restore, shun } from './shun-rule.js';
-import { TargetStanding, TargetState } from './target-state.js';
+import {
+  areFailuresServiceWide,
+  isFailure,
+  evaluateResult,
+  restore,
+  eject,
+} from './outlier-ejection.js';
+import { TargetStatus, TargetState } from './target-state.js';
 
-/** Silence after which a gate is asked for its load. */
-const probeAfterMilliseconds = 1_000;
-/** A service that was not used for this long is not probed. */
-const probeWhileUsedMilliseconds = 5_000;
-/** Of a node's 4 KB/s for control, membership and configuration take 2.5 KB/s; 3 probes at 200 bytes take 0.6 KB/s. */
+/** Time without a load report after which a gate is probed. */
+const probeSilenceMilliseconds = 1_000;
+/** Targets of a service that was not used for this long are not probed. */
+const probeUsageWindowMilliseconds = 5_000;
+/**
+ * A node may send 4 KB/s of control traffic. Membership and configuration take 2.5 KB/s, 3 probes per
+ * second at 200 bytes take 0.6 KB/s.
+ */
 const probesPerSecond = 3;
-/** Calls that can't be repeated become a trial only when no other did so for this time. */
-const avoidedTrialMilliseconds = 1_000;
+/** A call that can't be sent again becomes a trial only if the trial has been due for this long. */
+const trialAvoidanceMilliseconds = 1_000;
 
-/** Time over which a new target's share grows when the options state none. */
+/** Time over which the share of a new target grows if the options contain none. */
 const defaultRampMilliseconds = 10_000;
 
-/** Chooses the target of each attempt; its cost does not grow with the number of targets. */
+/** Chooses the target of each attempt in time that doesn't grow with the number of targets. */
 export class Router implements RouterContract {
   private readonly states = new Map<string, TargetState>();
   private readonly services = new Map<string, ServiceTargets>();
-  /** Services that were chosen from lately, for probes. */
-  private readonly used = new Set<ServiceTargets>();
+  /** Recently used services; only their targets are probed. */
+  private readonly recentlyUsedServices = new Set<ServiceTargets>();
   private readonly policy;
   private probeTokens = probesPerSecond;
   private probeTokensAt = -Infinity;
@@ -37,36 +46,36 @@
     private readonly options: RouterOptions,
     private readonly random: RandomSource,
   ) {
-    this.policy = options.policy ?? new PowerOfChoicesPolicy(random, zoneView(options));
+    this.policy = options.policy ?? new PowerOfChoicesPolicy(random, createZoneTopology(options));
   }
 
   public upsert(target: Target, now: ClockReading): void {
     const known = this.states.get(target.server);
     if (known !== undefined && known.target.incarnation > target.incarnation) return;
-    if (known?.target.incarnation === target.incarnation && isSamePlace(known.target, target)) {
+    if (known?.target.incarnation === target.incarnation && isSameLocation(known.target, target)) {
       this.update(known, target);
       return;
     }
     if (known !== undefined) this.remove(target.server);
     const state = new TargetState(target, now.monotonic);
-    state.standing = target.draining ? TargetStanding.Draining : TargetStanding.Open;
+    state.status = target.draining ? TargetStatus.Draining : TargetStatus.Open;
     const ramp = this.options.rampMilliseconds ?? defaultRampMilliseconds;
     state.startRamp(now.monotonic, ramp, false);
     this.states.set(target.server, state);
-    const service = this.serviceOf(target.service);
-    service.place(state);
-    service.probes.push(now.monotonic + probeAfterMilliseconds, state);
+    const service = this.getOrCreateService(target.service);
+    service.assignPool(state);
+    service.probeSchedule.push(now.monotonic + probeSilenceMilliseconds, state);
   }
 
   public remove(server: string): void {
     const state = this.states.get(server);
     if (state === undefined) return;
     this.states.delete(server);
-    const service = this.serviceOf(state.target.service);
+    const service = this.getOrCreateService(state.target.service);
     service.remove(state);
     if (service.size === 0) {
       this.services.delete(state.target.service);
-      this.used.delete(service);
+      this.recentlyUsedServices.delete(service);
     }
   }
 
@@ -83,65 +92,67 @@
     const targets = this.services.get(service);
     if (targets === undefined) return undefined;
     targets.lastChosenAt = now.monotonic;
-    this.used.add(targets);
+    this.recentlyUsedServices.add(targets);
     const state =
-      this.dueTrial(targets, excluded, now.monotonic, avoidTrial) ??
+      this.takeDueTrial(targets, excluded, now.monotonic, avoidTrial) ??
       this.policy.select(targets, excluded, now) ??
       targets.otherRegions.draw(this.random, excluded, []) ??
-      targets.slow.draw(this.random, excluded, []) ??
-      (mayUseFailing(targets) ? targets.failing.draw(this.random, excluded, []) : undefined) ??
+      targets.ejectedSlow.draw(this.random, excluded, []) ??
+      (mayUseFailingTargets(targets)
+        ? targets.ejectedFailing.draw(this.random, excluded, [])
+        : undefined) ??
       targets.draining.draw(this.random, excluded, []);
     return state?.target;
   }
 
   public chooseServer(service: string, server: string): Target | undefined {
     const state = this.states.get(server);
-    if (state?.target.service !== service || state.standing !== TargetStanding.Open) {
+    if (state?.target.service !== service || state.status !== TargetStatus.Open) {
       return undefined;
     }
-    return state.hasRoom ? state.target : undefined;
+    return state.hasCapacity ? state.target : undefined;
   }
 
-  public sent(server: string): void {
+  public onSent(server: string): void {
     const state = this.states.get(server);
     if (state === undefined) return;
     state.sentSinceReport += 1;
     state.outstanding += 1;
   }
 
-  public reported(server: string, load: LoadReport, now: ClockReading): void {
+  public onLoadReport(server: string, load: LoadReport, now: ClockReading): void {
     const state = this.states.get(server);
     if (state?.target.service !== load.service) return;
-    state.takeReport(load, now.monotonic);
-    const service = this.serviceOf(load.service);
-    service.reportTaken(state);
-    this.followGateState(state, service, now.monotonic);
+    state.applyLoadReport(load, now.monotonic);
+    const service = this.getOrCreateService(load.service);
+    service.updateReportMeans(state);
+    this.applyGateState(state, service, now.monotonic);
   }
 
-  public concluded(
+  public onAttemptEnded(
     server: string,
-    end: AttemptEnd,
+    outcome: AttemptOutcome,
     latencyMilliseconds: number,
     now: ClockReading,
   ): void {
     const state = this.states.get(server);
     if (state === undefined) return;
     state.outstanding = Math.max(0, state.outstanding - 1);
-    const service = this.serviceOf(state.target.service);
-    recordResult(state, service, end, latencyMilliseconds, now.monotonic);
-    if (this.options.shunning === false || state.standing === TargetStanding.Draining) return;
-    const verdict = judgeResult(state, {
-      end,
+    const service = this.getOrCreateService(state.target.service);
+    recordAttemptOutcome(state, service, outcome, latencyMilliseconds, now.monotonic);
+    if (this.options.outlierEjection === false || state.status === TargetStatus.Draining) return;
+    const verdict = evaluateResult(state, {
+      outcome,
       latencyMilliseconds,
       medianLatency: service.medianLatency(now.monotonic),
       now: now.monotonic,
       serviceFailureRate: service.failureRate,
     });
     if (verdict === 'keep') return;
-    if (verdict === 'shun') this.shun(state, service, isFailure(end), now.monotonic);
+    if (verdict === 'shun') this.ejectTarget(state, service, isFailure(outcome), now.monotonic);
     else {
       restore(state, now.monotonic);
-      service.place(state);
+      service.assignPool(state);
     }
   }
 
@@ -149,12 +160,12 @@
     return this.services.get(service)?.latencies.quantile(quantile);
   }
 
-  public dueForProbe(now: ClockReading): readonly Target[] {
+  public targetsDueForProbe(now: ClockReading): readonly Target[] {
     this.refillProbeTokens(now.monotonic);
     const due: Target[] = [];
-    for (const service of this.used) {
-      if (now.monotonic - service.lastChosenAt > probeWhileUsedMilliseconds) {
-        this.used.delete(service);
+    for (const service of this.recentlyUsedServices) {
+      if (now.monotonic - service.lastChosenAt > probeUsageWindowMilliseconds) {
+        this.recentlyUsedServices.delete(service);
         continue;
       }
       this.collectProbes(service, now.monotonic, due);
@@ -163,20 +174,20 @@
   }
 
   public get isProbing(): boolean {
-    return this.used.size > 0;
+    return this.recentlyUsedServices.size > 0;
   }
 
   private collectProbes(service: ServiceTargets, now: number, due: Target[]): void {
     while (this.probeTokens >= 1) {
-      const state = service.probes.popDue(now);
+      const state = service.probeSchedule.popDue(now);
       if (state === undefined) return;
       if (!service.has(state)) continue;
-      const quietUntil = state.lastHeardAt + probeAfterMilliseconds;
-      if (quietUntil > now) {
-        service.probes.push(quietUntil, state);
+      const nextProbeAt = state.lastContactAt + probeSilenceMilliseconds;
+      if (nextProbeAt > now) {
+        service.probeSchedule.push(nextProbeAt, state);
         continue;
       }
-      service.probes.push(now + probeAfterMilliseconds, state);
+      service.probeSchedule.push(now + probeSilenceMilliseconds, state);
       this.probeTokens -= 1;
       due.push(state.target);
     }
@@ -191,56 +202,61 @@
     this.probeTokensAt = now;
   }
 
-  /** A shunned target whose time is over gets one request; its result decides. */
-  private dueTrial(
+  /** An ejected target whose ejection time has passed gets one trial request; its result decides. */
+  private takeDueTrial(
     service: ServiceTargets,
     excluded: ReadonlySet<string>,
     now: number,
     avoidTrial: boolean,
   ): TargetState | undefined {
-    const latest = avoidTrial ? now - avoidedTrialMilliseconds : now;
-    const first = service.trials.peek();
+    const latest = avoidTrial ? now - trialAvoidanceMilliseconds : now;
+    const first = service.trialSchedule.peek();
     if (first === undefined || excluded.has(first.target.server)) return undefined;
-    const state = service.trials.popDue(latest);
+    const state = service.trialSchedule.popDue(latest);
     if (state === undefined) return undefined;
-    if (!service.has(state) || state.standing !== TargetStanding.Shunned) return undefined;
-    if (state.trialAt > now) return undefined;
+    if (!service.has(state) || state.status !== TargetStatus.Shunned) return undefined;
+    if (state.nextTrialAt > now) return undefined;
     state.trialSentAt = now;
-    state.trialAt = now + state.shunMilliseconds;
-    // A trial whose result is lost is followed by another one.
-    service.trials.push(state.trialAt, state);
+    state.nextTrialAt = now + state.ejectionMilliseconds;
+    // Schedules another trial in case the result of this one is lost.
+    service.trialSchedule.push(state.nextTrialAt, state);
     return state;
   }
 
-  private shun(state: TargetState, service: ServiceTargets, isFailing: boolean, now: number): void {
+  private ejectTarget(
+    state: TargetState,
+    service: ServiceTargets,
+    isFailing: boolean,
+    now: number,
+  ): void {
     state.isFailing = isFailing;
-    shun(state, service.failureRate, now);
-    service.place(state);
-    service.trials.push(state.trialAt, state);
+    eject(state, service.failureRate, now);
+    service.assignPool(state);
+    service.trialSchedule.push(state.nextTrialAt, state);
   }
 
-  private followGateState(state: TargetState, service: ServiceTargets, now: number): void {
+  private applyGateState(state: TargetState, service: ServiceTargets, now: number): void {
     const isClosed = state.target.draining || state.report?.state === GateState.Draining;
-    if (isClosed && state.standing !== TargetStanding.Draining) {
-      state.standing = TargetStanding.Draining;
-      service.place(state);
-    } else if (!isClosed && state.standing === TargetStanding.Draining) {
-      state.standing = TargetStanding.Open;
-      service.place(state);
+    if (isClosed && state.status !== TargetStatus.Draining) {
+      state.status = TargetStatus.Draining;
+      service.assignPool(state);
+    } else if (!isClosed && state.status === TargetStatus.Draining) {
+      state.status = TargetStatus.Open;
+      service.assignPool(state);
     }
     const isDown = state.report?.state === GateState.Down;
-    if (isDown && state.standing === TargetStanding.Open) this.shun(state, service, true, now);
+    if (isDown && state.status === TargetStatus.Open) this.ejectTarget(state, service, true, now);
   }
 
   private update(state: TargetState, target: Target): void {
     const wasDraining = state.target.draining;
     state.target = target;
     if (wasDraining === target.draining) return;
-    state.standing = target.draining ? TargetStanding.Draining : TargetStanding.Open;
-    this.serviceOf(target.service).place(state);
+    state.status = target.draining ? TargetStatus.Draining : TargetStatus.Open;
+    this.getOrCreateService(target.service).assignPool(state);
   }
 
-  private serviceOf(name: string): ServiceTargets {
+  private getOrCreateService(name: string): ServiceTargets {
     const known = this.services.get(name);
     if (known !== undefined) return known;
     const created = new ServiceTargets(this.options, this.random);
@@ -249,7 +265,7 @@
   }
 }
 
-function isSamePlace(first: Target, second: Target): boolean {
+function isSameLocation(first: Target, second: Target): boolean {
   return (
     first.service === second.service &&
     first.availabilityZone === second.availabilityZone &&
@@ -257,7 +273,10 @@
   );
 }
 
-/** A refusal is better for the caller than a target that fails, unless all fail about as often. */
-function mayUseFailing(targets: ServiceTargets): boolean {
-  return !targets.hasUsable || areFailuresUsual(targets.failureRate);
+/**
+ * Refusing a call is better for the caller than a failing target, unless the whole service is
+ * failing.
+ */
+function mayUseFailingTargets(targets: ServiceTargets): boolean {
+  return !targets.hasUsableTargets || areFailuresServiceWide(targets.failureRate);
 }
--- a/packages/core/src/routing/running-mean.ts
+++ b/packages/core/src/routing/running-mean.ts
@@ -1,9 +1,9 @@
-/** The mean of the latest value of each key, kept without a scan. */
+/** Mean of the latest value of each key, updated in constant time. */
 export class RunningMean {
   private readonly values = new Map<object, number>();
   private sum = 0;
 
-  /** 0 while there is no value. */
+  /** The mean; 0 if there are no values. */
   public get mean(): number {
     return this.values.size === 0 ? 0 : this.sum / this.values.size;
   }
--- a/packages/core/src/routing/selection-policy.ts
+++ b/packages/core/src/routing/selection-policy.ts
@@ -2,21 +2,21 @@
 import type { TargetPool } from './target-pool.js';
 import type { TargetState } from './target-state.js';
 
-/** What a policy may choose from: the open targets of one service. */
+/** What a policy chooses from: the targets of one service that are neither ejected nor draining. */
 export interface SelectionScope {
-  /** Targets of the region, the own availability zone included. */
+  /** Targets in the entry's region, including its own availability zone. */
   readonly region: TargetPool;
-  /** Targets of the own availability zone. */
+  /** Targets in the entry's own availability zone. */
   readonly zone: TargetPool;
-  /** Mean load of the service's targets by other entries, relative to their limits. */
-  readonly meanOthersRatio: number;
-  /** Mean of the service times that the targets report; 0 while none did. */
+  /** Mean over the service's targets of the load by other entries relative to the target's limit. */
+  readonly meanOtherEntriesRatio: number;
+  /** Mean of the service times in milliseconds that targets report; 0 before the first report. */
   readonly meanReportedLatency: number;
-  /** Typical latency of a request; undefined while nothing was answered. */
-  readonly typicalLatency: number | undefined;
+  /** Median latency in milliseconds; undefined while there are too few samples. */
+  readonly medianRequestLatency: number | undefined;
 }
 
-/** Chooses one of the open targets of a service; the seam at which policies are compared. */
+/** Chooses one target of a service. Benchmarks compare implementations of this interface. */
 export interface SelectionPolicy {
   readonly name: string;
   select(
--- a/packages/core/src/routing/service-targets.ts
+++ b/packages/core/src/routing/service-targets.ts
@@ -5,41 +5,42 @@
 import type { Target } from './router-contract.js';
 import type { SelectionScope } from './selection-policy.js';
 import { TargetPool } from './target-pool.js';
-import { TargetStanding } from './target-state.js';
+import { TargetStatus } from './target-state.js';
 import type { TargetState } from './target-state.js';
 
-/** Targets whose averages are read for the median; more would cost time without changing it much. */
+/** Targets sampled for the median latency; more would cost time and change the median little. */
 const medianSampleSize = 31;
 const medianIntervalMilliseconds = 250;
 /** Weight of the newest result in the service's failure rate: it covers about 50 results. */
 const failureWeight = 0.02;
-const noneExcluded: ReadonlySet<string> = new Set();
+const noExclusions: ReadonlySet<string> = new Set();
 
-/** Where the entry is. */
+/** Availability zone and region of the entry. */
 export interface EntryLocation {
   readonly availabilityZone: string;
   readonly region: string;
 }
 
-/** The targets of one service, sorted into pools by their standing and place. */
+/** The targets of one service, in pools by status and location. */
 export class ServiceTargets implements SelectionScope {
   public readonly region = new TargetPool();
   public readonly zone = new TargetPool();
   public readonly otherRegions = new TargetPool();
-  /** Shunned targets that answer, and those that don't. */
-  public readonly slow = new TargetPool();
-  public readonly failing = new TargetPool();
+  /** Ejected targets that answer, but too slowly. */
+  public readonly ejectedSlow = new TargetPool();
+  /** Ejected targets that fail or can't be reached. */
+  public readonly ejectedFailing = new TargetPool();
   public readonly draining = new TargetPool();
   public readonly latencies = new LatencyHistogram();
-  /** When to send a trial request to which shunned target; entries may be outdated. */
-  public readonly trials = new MinimumHeap<TargetState>();
-  /** When to look whether a target needs a probe. */
-  public readonly probes = new MinimumHeap<TargetState>();
+  /** Times of the trial requests to ejected targets; entries may be outdated. */
+  public readonly trialSchedule = new MinimumHeap<TargetState>();
+  /** Times at which to check whether a target needs a probe. */
+  public readonly probeSchedule = new MinimumHeap<TargetState>();
   public lastChosenAt = -Infinity;
   private readonly members = new Set<TargetState>();
-  private readonly othersRatios = new RunningMean();
+  private readonly otherEntriesRatios = new RunningMean();
   private readonly reportedLatencies = new RunningMean();
-  /** Recent share of failures among the results of all targets. */
+  /** Moving average of the share of failures among the results of all targets. */
   public failureRate = 0;
   private median: number | undefined;
   private medianAt = -Infinity;
@@ -53,20 +54,20 @@
     return this.members.size;
   }
 
-  /** Whether any target is likely to answer, even if slowly. */
-  public get hasUsable(): boolean {
-    return this.region.size + this.otherRegions.size + this.slow.size > 0;
+  /** Whether any target is likely to answer, possibly slowly. */
+  public get hasUsableTargets(): boolean {
+    return this.region.size + this.otherRegions.size + this.ejectedSlow.size > 0;
   }
 
-  public get meanOthersRatio(): number {
-    return this.othersRatios.mean;
+  public get meanOtherEntriesRatio(): number {
+    return this.otherEntriesRatios.mean;
   }
 
   public get meanReportedLatency(): number {
     return this.reportedLatencies.mean;
   }
 
-  public get typicalLatency(): number | undefined {
+  public get medianRequestLatency(): number | undefined {
     return this.latencies.quantile(0.5);
   }
 
@@ -79,32 +80,33 @@
   }
 
   /** Puts a target into the pools that fit its standing. */
-  public place(state: TargetState): void {
+  public assignPool(state: TargetState): void {
     this.removeFromPools(state);
     this.members.add(state);
-    if (state.standing === TargetStanding.Draining) this.draining.add(state);
-    else if (state.standing === TargetStanding.Shunned) {
-      (state.isFailing ? this.failing : this.slow).add(state);
-    } else this.placeOpen(state);
+    if (state.status === TargetStatus.Draining) this.draining.add(state);
+    else if (state.status === TargetStatus.Shunned) {
+      (state.isFailing ? this.ejectedFailing : this.ejectedSlow).add(state);
+    } else this.assignOpenPool(state);
   }
 
   public remove(state: TargetState): void {
     this.removeFromPools(state);
     this.members.delete(state);
-    this.othersRatios.remove(state);
+    this.otherEntriesRatios.remove(state);
     this.reportedLatencies.remove(state);
   }
 
-  /** Keeps the service's means current without a scan. */
-  public reportTaken(state: TargetState): void {
-    this.othersRatios.set(state, state.othersRatio);
+  /** Updates the service's means after a load report, in constant time. */
+  public updateReportMeans(state: TargetState): void {
+    this.otherEntriesRatios.set(state, state.otherEntriesRatio);
     this.reportedLatencies.set(state, state.report?.latencyMilliseconds ?? 0);
   }
 
   /**
-   * Median of the open targets' average latencies, from a bounded sample and at most each 250 ms. While
-   * none is open, the shunned ones that answer are compared with each other: against the last median of
-   * open ones, which may come from one short answer, every trial could fail for good.
+   * Median of the average latencies of the open targets, from a bounded sample and updated at most every
+   * 250 ms. While no target is open, the median of the ejected slow targets is used. If it stayed at the
+   * last median of open targets, which may come from a single fast answer, every trial could count as
+   * slow and no target would ever be restored.
    */
   public medianLatency(now: number): number | undefined {
     if (now - this.medianAt < medianIntervalMilliseconds) return this.median;
@@ -122,18 +124,18 @@
   }
 
   private sample(): readonly TargetState[] {
-    const pool = this.region.size > 0 ? this.region : this.slow;
+    const pool = this.region.size > 0 ? this.region : this.ejectedSlow;
     if (pool.size <= medianSampleSize) return pool.all;
     const sample: TargetState[] = [];
     while (sample.length < medianSampleSize) {
-      const state = pool.draw(this.random, noneExcluded, []);
+      const state = pool.draw(this.random, noExclusions, []);
       if (state === undefined) break;
       sample.push(state);
     }
     return sample;
   }
 
-  private placeOpen(state: TargetState): void {
+  private assignOpenPool(state: TargetState): void {
     if (state.target.region !== this.location.region) {
       this.otherRegions.add(state);
       return;
@@ -146,8 +148,8 @@
     this.region.remove(state);
     this.zone.remove(state);
     this.otherRegions.remove(state);
-    this.slow.remove(state);
-    this.failing.remove(state);
+    this.ejectedSlow.remove(state);
+    this.ejectedFailing.remove(state);
     this.draining.remove(state);
   }
 }
--- a/packages/core/src/routing/target-pool.ts
+++ b/packages/core/src/routing/target-pool.ts
@@ -2,10 +2,10 @@
 import type { RandomSource } from '../shared/random-source.js';
 import type { TargetState } from './target-state.js';
 
-/** Draws of a random index before the pool falls back to stepping from one. */
-const randomDraws = 4;
+/** Random draws before `draw` falls back to stepping through the members from a random index. */
+const maximumRandomDraws = 4;
 
-/** A set of targets with insertion, removal and random choice in constant time. */
+/** Set of targets with insertion, removal and random choice in constant time. */
 export class TargetPool {
   private readonly members: TargetState[] = [];
   private readonly positions = new Map<TargetState, number>();
@@ -37,7 +37,7 @@
 
   /**
    * Returns a random member that is neither excluded nor already picked. The number of steps is
-   * bounded by the excluded and the picked targets, not by the size of the pool.
+   * bounded by the number of excluded and picked targets, not by the size of the pool.
    */
   public draw(
     random: RandomSource,
@@ -46,7 +46,7 @@
   ): TargetState | undefined {
     const size = this.members.length;
     if (size === 0) return undefined;
-    for (let attempt = 0; attempt < randomDraws; attempt += 1) {
+    for (let attempt = 0; attempt < maximumRandomDraws; attempt += 1) {
       const candidate = this.members[nextInteger(random, size)];
       if (isAllowed(candidate, excluded, picked)) return candidate;
     }
--- a/packages/core/src/routing/target-state.ts
+++ b/packages/core/src/routing/target-state.ts
@@ -1,48 +1,48 @@
 import type { LoadReport } from '../messages/load-report.js';
 import type { Target } from './router-contract.js';
 
-/** Whether a target is in the ordinary choice. */
-export const TargetStanding = {
+/** Whether a target is regularly chosen; draining and ejected targets are not. */
+export const TargetStatus = {
   Draining: 'draining',
   Open: 'open',
   Shunned: 'shunned',
 } as const;
-export type TargetStanding = (typeof TargetStanding)[keyof typeof TargetStanding];
+export type TargetStatus = (typeof TargetStatus)[keyof typeof TargetStatus];
 
 /** Weight of the newest latency in a target's moving average. */
 const latencyWeight = 0.2;
-/** A latency older than this says little of the target now; shunned targets get a trial as often. */
-const latencyValidMilliseconds = 10_000;
+/** An older latency says little about the target's present state; the longest ejection is as long. */
+const latencyValidityMilliseconds = 10_000;
 /** Weight of the newest outcome in a target's failure rate. */
 const failureWeight = 0.25;
-/** Share of its limit that a target may get at the start of its ramp. */
+/** Share of its limit that a target gets at the start of a ramp. */
 const initialShare = 0.1;
 
-/** What this node knows of one target. */
+/** What this node has observed of one target. */
 export class TargetState {
-  public standing: TargetStanding = 'open';
+  public status: TargetStatus = 'open';
   public report: LoadReport | undefined;
   public reportedAt = -Infinity;
-  /** Requests sent by this node that the last report can't include. */
+  /** Requests that this node sent after the last report. */
   public sentSinceReport = 0;
-  /** Requests of this node that have not concluded. */
+  /** Attempts of this node without a result. */
   public outstanding = 0;
   public latency: number | undefined;
   public latencySamples = 0;
   public failureRate = 0;
-  public lastHeardAt: number;
-  /** Whether the target was shunned because it gave no answers. */
+  public lastContactAt: number;
+  /** Whether the target was ejected because of failures, not because of its latency. */
   public isFailing = false;
-  /** Monotonic time of the next trial request while the target is shunned. */
-  public trialAt = 0;
-  /** Start of the running trial request. */
+  /** Monotonic time of the next trial request while the target is ejected. */
+  public nextTrialAt = 0;
+  /** Monotonic time at which the current trial request was sent. */
   public trialSentAt: number | undefined;
-  public shunMilliseconds = 0;
-  public returnedAt = -Infinity;
-  /** Requests of other entries at the time of the last report. */
-  private others = 0;
+  public ejectionMilliseconds = 0;
+  public restoredAt = -Infinity;
+  /** Requests of other entries, running and queued, according to the last report. */
+  private otherEntriesLoad = 0;
   private latencyAt = -Infinity;
-  private isReturning = false;
+  private isRestored = false;
   private rampStart = -Infinity;
   private rampLength = 1;
 
@@ -50,53 +50,59 @@
     public target: Target,
     now: number,
   ) {
-    this.lastHeardAt = now;
+    this.lastContactAt = now;
   }
 
-  /** Requests that the target runs at once, as far as known. */
+  /** Concurrency limit that the target last reported; its slots before the first report. */
   public get limit(): number {
     return Math.max(1, this.report?.limit ?? this.target.slots);
   }
 
-  /** Load by other entries according to the last report, relative to the limit. */
-  public get othersRatio(): number {
-    return this.others / this.limit;
+  /** Load by other entries according to the last report, relative to the target's limit. */
+  public get otherEntriesRatio(): number {
+    return this.otherEntriesLoad / this.limit;
   }
 
-  /** Whether one more request would start at once, as far as known. */
-  public get hasRoom(): boolean {
-    return this.outstanding + this.others < this.limit;
+  /** Whether one more request would probably start without queueing. */
+  public get hasCapacity(): boolean {
+    return this.outstanding + this.otherEntriesLoad < this.limit;
   }
 
-  /** Takes a report that came with the end of one of this node's requests, or by a probe. */
-  public takeReport(report: LoadReport, now: number): void {
+  /** Applies a load report from the result of an attempt or from a probe. */
+  public applyLoadReport(report: LoadReport, now: number): void {
     this.report = report;
     this.reportedAt = now;
-    this.lastHeardAt = now;
+    this.lastContactAt = now;
     this.sentSinceReport = 0;
-    // The gate's own ramp shows in its limit; two ramps in a row would keep a new server idle.
-    if (!this.isReturning) this.rampStart = -Infinity;
-    // The request that ended is still outstanding here and no longer part of the report.
+    // The limit reported by the gate ramps up by itself; two ramps in a row would keep a new server idle.
+    if (!this.isRestored) this.rampStart = -Infinity;
+    // The attempt that ended is still counted in `outstanding`, but no longer in the report.
     const own = Math.max(0, this.outstanding - 1);
-    this.others = Math.max(0, report.inFlight + report.queued - own);
+    this.otherEntriesLoad = Math.max(0, report.inFlight + report.queued - own);
   }
 
-  /** `isReturning` keeps the ramp when load reports arrive: the gate does not know of a shun. */
-  public startRamp(now: number, milliseconds: number, isReturning: boolean): void {
-    this.isReturning = isReturning;
+  /**
+   * `isRestored` keeps the ramp when load reports arrive, because the gate doesn't know of an
+   * ejection.
+   */
+  public startRamp(now: number, milliseconds: number, isRestored: boolean): void {
+    this.isRestored = isRestored;
     this.rampStart = now;
     this.rampLength = Math.max(1, milliseconds);
   }
 
-  /** Share of its limit that the target may get now: below 1 while it ramps up. */
-  public share(now: number): number {
+  /** Share of its limit that the target may get now; below 1 during a ramp. */
+  public rampShare(now: number): number {
     const elapsed = (now - this.rampStart) / this.rampLength;
     return elapsed >= 1 ? 1 : initialShare + (1 - initialShare) * Math.max(0, elapsed);
   }
 
-  /** The moving average while it is recent; an idle target has to be tried again to show a change. */
+  /**
+   * Moving average of the latency, undefined if it is outdated: an idle target has to be chosen again
+   * before a change can be observed.
+   */
   public recentLatency(now: number): number | undefined {
-    return now - this.latencyAt <= latencyValidMilliseconds ? this.latency : undefined;
+    return now - this.latencyAt <= latencyValidityMilliseconds ? this.latency : undefined;
   }
 
   public recordLatency(milliseconds: number, now: number): void {
@@ -116,8 +122,8 @@
     this.failureRate += failureWeight * ((isFailure ? 1 : 0) - this.failureRate);
   }
 
-  /** Forgets the history before a shun, so that only new results count after the return. */
-  public forgetHistory(): void {
+  /** Drops the results from before an ejection, so that only new ones count after it. */
+  public resetHistory(): void {
     this.latency = undefined;
     this.latencySamples = 0;
     this.failureRate = 0;
--- a/packages/core/src/shared/back-off.ts
+++ b/packages/core/src/shared/back-off.ts
@@ -1,23 +1,29 @@
 import type { RandomSource } from './random-source.js';
 
-/** Delays that double from a first to a longest one, each with jitter of half its length. */
+/**
+ * Exponential back-off: delays that double from an initial to a maximum delay, each with jitter of
+ * up to half its length.
+ */
 export class BackOff {
-  private failures = 0;
+  private consecutiveDelays = 0;
 
   public constructor(
     private readonly random: RandomSource,
-    private readonly firstMilliseconds: number,
-    private readonly longestMilliseconds: number,
+    private readonly initialMilliseconds: number,
+    private readonly maximumMilliseconds: number,
   ) {}
 
-  /** The delay before the next try. */
-  public next(): number {
-    const full = Math.min(this.longestMilliseconds, this.firstMilliseconds * 2 ** this.failures);
-    this.failures = Math.min(this.failures + 1, 30);
-    return full * (0.5 + 0.5 * this.random.next());
+  /** Returns the delay before the next try. */
+  public nextDelay(): number {
+    const delay = Math.min(
+      this.maximumMilliseconds,
+      this.initialMilliseconds * 2 ** this.consecutiveDelays,
+    );
+    this.consecutiveDelays = Math.min(this.consecutiveDelays + 1, 30);
+    return delay * (0.5 + 0.5 * this.random.next());
   }
 
   public reset(): void {
-    this.failures = 0;
+    this.consecutiveDelays = 0;
   }
 }
--- a/packages/core/src/shared/clock-reading.ts
+++ b/packages/core/src/shared/clock-reading.ts
@@ -1,7 +1,10 @@
-/** A reading of both clocks of a node, in milliseconds. */
+/** A simultaneous reading of a node's monotonic and wall clocks, in milliseconds. */
 export interface ClockReading {
-  /** Never goes backwards; stands for durations, leases and timeouts. */
+  /** Never goes backwards; used for durations, leases and timeouts. */
   readonly monotonic: number;
-  /** Unix time; only compared with other nodes' wall clocks within the allowed skew. */
+  /**
+   * Unix time; compared with other nodes' wall clocks only with allowance for the permitted clock
+   * skew.
+   */
   readonly wall: number;
 }
--- a/packages/core/src/shared/invariant-error.ts
+++ b/packages/core/src/shared/invariant-error.ts
@@ -1,9 +1,9 @@
-/** Thrown when an invariant of the core is broken; the process stops. */
+/** Thrown if an invariant of the core is violated; the process then stops. */
 export class InvariantError extends Error {
   public override readonly name = 'InvariantError';
 }
 
-/** Asserts an invariant. */
+/** Throws an `InvariantError` unless the condition holds. */
 export function assertInvariant(condition: boolean, description: string): asserts condition {
   if (!condition) {
     throw new InvariantError(description);
--- a/packages/core/src/shared/minimum-heap.ts
+++ b/packages/core/src/shared/minimum-heap.ts
@@ -3,7 +3,10 @@
   readonly value: Value;
 }
 
-/** A binary heap of values ordered by time. Entries are never updated; owners skip outdated ones. */
+/**
+ * A binary heap of values ordered by time. Entries cannot be updated; owners add new ones and skip
+ * outdated ones.
+ */
 export class MinimumHeap<Value> {
   private entries: HeapEntry<Value>[] = [];
 
@@ -16,7 +19,7 @@
     this.siftUp(this.entries.length - 1);
   }
 
-  /** The earliest value without removing it. */
+  /** Returns the earliest value without removing it. */
   public peek(): Value | undefined {
     return this.entries[0]?.value;
   }
@@ -38,7 +41,7 @@
     return first.value;
   }
 
-  /** Drops the values that are not kept. Costs time proportional to the size. */
+  /** Removes all values for which the predicate returns false, in time proportional to the size. */
   public retain(isKept: (value: Value) => boolean): void {
     this.entries = this.entries.filter((entry) => isKept(entry.value));
     for (let index = (this.entries.length >> 1) - 1; index >= 0; index -= 1) this.siftDown(index);
--- a/packages/core/src/shared/random-source.ts
+++ b/packages/core/src/shared/random-source.ts
@@ -1,10 +1,10 @@
-/** A source of randomness that a driver seeds, so that every run can be repeated. */
+/** A source of random numbers seeded by the driver, so that every run is reproducible. */
 export interface RandomSource {
   /** Returns a number in [0, 1). */
   next(): number;
 }
 
-/** A small seeded generator (mulberry32). */
+/** A small seeded pseudorandom number generator (mulberry32). */
 export class SeededRandomSource implements RandomSource {
   private state: number;
 
--- a/packages/core/src/shared/store-requests.ts
+++ b/packages/core/src/shared/store-requests.ts
@@ -1,7 +1,7 @@
 import type { StoreOperation, StoreResult } from '../messages/store.js';
 import type { ClockReading } from './clock-reading.js';
 
-/** Asks the driver to carry out a store operation. */
+/** Asks the driver to run a store operation. */
 export interface StoreRequestCommand {
   readonly kind: 'store';
   readonly operationId: number;
@@ -9,52 +9,56 @@
 }
 
 /** Receives the result of one operation. */
-export type StoreConclusion = (result: StoreResult, now: ClockReading) => void;
+export type StoreResultHandler = (result: StoreResult, now: ClockReading) => void;
 
-interface WaitingRequest {
+interface PendingRequest {
   readonly deadline: number;
-  readonly conclude: StoreConclusion;
+  readonly onResult: StoreResultHandler;
 }
 
-/** The client gives up after 2 s; this only covers a result that was lost on the way to the core. */
+/**
+ * The store client times out after 2 s, so this only covers a result that was lost before it
+ * reached the core.
+ */
 const resultTimeoutMilliseconds = 5_000;
 
-/** Matches store results to the requests that wait for them; late and duplicated results are dropped. */
+/** Matches store results to pending requests; late and duplicate results are ignored. */
 export class StoreRequests {
   private nextOperationId = 1;
-  private readonly waiting = new Map<number, WaitingRequest>();
+  private readonly pending = new Map<number, PendingRequest>();
 
   public constructor(private readonly emit: (command: StoreRequestCommand) => void) {}
 
-  /** Starts an operation; `conclude` runs once, with `unknown` if no result arrives in time. */
-  public start(operation: StoreOperation, now: ClockReading, conclude: StoreConclusion): void {
+  /** Starts an operation. `onResult` is called once, with `unknown` if no result arrives in time. */
+  public start(operation: StoreOperation, now: ClockReading, onResult: StoreResultHandler): void {
     const operationId = this.nextOperationId;
     this.nextOperationId += 1;
     const deadline =
       operation.kind === 'watch'
         ? Number.POSITIVE_INFINITY
         : now.monotonic + resultTimeoutMilliseconds;
-    this.waiting.set(operationId, { deadline, conclude });
+    this.pending.set(operationId, { deadline, onResult });
     this.emit({ kind: 'store', operationId, operation });
   }
 
-  public deliver(operationId: number, result: StoreResult, now: ClockReading): void {
-    const request = this.waiting.get(operationId);
+  public handleResult(operationId: number, result: StoreResult, now: ClockReading): void {
+    const request = this.pending.get(operationId);
     if (request === undefined) return;
-    this.waiting.delete(operationId);
-    request.conclude(result, now);
+    this.pending.delete(operationId);
+    request.onResult(result, now);
   }
 
-  /** When the next request without a result is given up. */
+  /** Monotonic time at which the next pending request times out. */
   public get nextDeadline(): number {
     let next = Number.POSITIVE_INFINITY;
-    for (const { deadline } of this.waiting.values()) next = Math.min(next, deadline);
+    for (const { deadline } of this.pending.values()) next = Math.min(next, deadline);
     return next;
   }
 
   public tick(now: ClockReading): void {
-    for (const [operationId, request] of this.waiting) {
-      if (request.deadline <= now.monotonic) this.deliver(operationId, { kind: 'unknown' }, now);
+    for (const [operationId, request] of this.pending) {
+      if (request.deadline <= now.monotonic)
+        this.handleResult(operationId, { kind: 'unknown' }, now);
     }
   }
 }
--- a/packages/core/tests/calls/call-engine.property.test.ts
+++ b/packages/core/tests/calls/call-engine.property.test.ts
@@ -41,32 +41,32 @@
   isIdempotent: fc.boolean(),
 });
 
-/** What an observer outside of the engine sees of the attempts. */
+/** Records the commands of the engine and the results given to its attempts. */
 class Observer {
   public readonly conclusions = new Map<number, number>();
   public readonly attempts: DispatchCommand[] = [];
   /** Attempts that certainly did not run. */
   public readonly notRun = new Set<number>();
-  /** Attempts with any result; only the first result says whether the attempt ran. */
+  /** Attempts with any result; only the first result shows whether the attempt ran. */
   public readonly ended = new Set<number>();
-  /** Attempts of each call that may have run when a further one was dispatched. */
-  public readonly overlapping = new Map<number, number>();
+  /** Per call, the attempts that may have run when another one was dispatched. */
+  public readonly overlappingAttempts = new Map<number, number>();
 
-  public see(commands: readonly CallCommand[]): void {
+  public onCommands(commands: readonly CallCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'conclude') {
         const count = this.conclusions.get(command.callNumber) ?? 0;
         this.conclusions.set(command.callNumber, count + 1);
       }
-      if (command.kind === 'dispatch') this.seeDispatch(command);
+      if (command.kind === 'dispatch') this.onDispatch(command);
     }
   }
 
-  private seeDispatch(command: DispatchCommand): void {
+  private onDispatch(command: DispatchCommand): void {
     const earlier = this.attempts.filter(
       (each) => each.callNumber === command.callNumber && !this.notRun.has(each.attemptId),
     );
-    if (earlier.length > 0) this.overlapping.set(command.callNumber, earlier.length);
+    if (earlier.length > 0) this.overlappingAttempts.set(command.callNumber, earlier.length);
     this.attempts.push(command);
   }
 }
@@ -80,31 +80,31 @@
     case 'not-sent':
       if (!observer.ended.has(attemptId)) observer.notRun.add(attemptId);
       observer.ended.add(attemptId);
-      observer.see(
+      observer.onCommands(
         step.result === 'refused'
-          ? engine.refused(attemptId, { reason: 'no-slot' }, at(now))
-          : engine.notSent(attemptId, false, at(now)),
+          ? engine.onRefused(attemptId, { reason: 'no-slot' }, at(now))
+          : engine.onNotSent(attemptId, false, at(now)),
       );
       return;
     case 'failed':
       observer.ended.add(attemptId);
-      observer.see(engine.failed(attemptId, undefined, at(now)));
+      observer.onCommands(engine.onFailed(attemptId, undefined, at(now)));
       return;
     case 'answered':
     case 'error':
       observer.ended.add(attemptId);
-      observer.see(
-        engine.answered(attemptId, step.result === 'error' ? 503 : 200, undefined, at(now)),
+      observer.onCommands(
+        engine.onAnswered(attemptId, step.result === 'error' ? 503 : 200, undefined, at(now)),
       );
       return;
     case 'admitted':
-      engine.admitted(attemptId);
+      engine.onAdmitted(attemptId);
       return;
     case 'peer-lost':
       for (const each of observer.attempts) {
         if (each.target.server === target.server) observer.ended.add(each.attemptId);
       }
-      observer.see(engine.peerLost(target.server, at(now)));
+      observer.onCommands(engine.onPeerLost(target.server, at(now)));
   }
 }
 
@@ -115,17 +115,19 @@
   plans.forEach((plan, index) => {
     const requestClass = plan.isIdempotent ? RequestClass.Idempotent : RequestClass.NonIdempotent;
     const { bodyHeld } = plan;
-    observer.see(engine.begin(call(index, { bodyHeld, requestClass }), at(now)));
+    observer.onCommands(
+      engine.begin(call(index, { isBodyReplayable: bodyHeld, requestClass }), at(now)),
+    );
   });
   for (const step of steps) {
     now += step.pause;
     apply(engine, observer, step, now);
-    observer.see(engine.tick(at(now)));
+    observer.onCommands(engine.tick(at(now)));
   }
   plans.forEach((plan, index) => {
-    if (plan.isAbandoned) observer.see(engine.abandon(index, at(now)));
+    if (plan.isAbandoned) observer.onCommands(engine.abandon(index, at(now)));
   });
-  observer.see(engine.tick(at(Math.max(now, deadline))));
+  observer.onCommands(engine.tick(at(Math.max(now, deadline))));
   assert.is(engine.callsInProgress, 0);
   return observer;
 }
@@ -136,7 +138,7 @@
   fc.integer(),
 ] as const;
 
-test('every call concludes exactly once, or never after its caller went away', () => {
+test('every call concludes exactly once, or at most once if its caller disconnects', () => {
   fc.assert(
     fc.property(...scenario, (plans, steps, seed) => {
       const { conclusions } = run(plans, steps, seed);
@@ -152,16 +154,16 @@
 test('a non-idempotent call never has two attempts that may have run', () => {
   fc.assert(
     fc.property(...scenario, (plans, steps, seed) => {
-      const { overlapping } = run(plans, steps, seed);
+      const { overlappingAttempts } = run(plans, steps, seed);
       plans.forEach((plan, index) => {
-        if (!plan.isIdempotent) assert.not.ok(overlapping.has(index));
+        if (!plan.isIdempotent) assert.not.ok(overlappingAttempts.has(index));
       });
     }),
     { numRuns: 2_000, seed: 22 },
   );
 });
 
-test('no call has more than 3 refusals and 2 repeats, whatever the targets do', () => {
+test('no call has more than 5 attempts (3 refusals and 2 budgeted retries), whatever the targets do', () => {
   fc.assert(
     fc.property(...scenario, (plans, steps, seed) => {
       const { attempts } = run(plans, steps, seed);
--- a/packages/core/tests/calls/call-engine.test.ts
+++ b/packages/core/tests/calls/call-engine.test.ts
@@ -17,19 +17,19 @@
 }
 
 const nonIdempotent: Partial<Call> = { requestClass: RequestClass.NonIdempotent };
-const streamed: Partial<Call> = { bodyHeld: false };
+const streamed: Partial<Call> = { isBodyReplayable: false };
 
 const outcomeCases: readonly OutcomeCase[] = [
   {
     attempts: 2,
-    failure: 'a server without a connection is told as one that refused',
+    failure: 'a server without a connection is reported as one that refused',
     outcome: 'refused-not-run peer-unreachable',
     script: ['not-sent', 'not-sent'],
     servers: 2,
   },
   {
     attempts: 2,
-    failure: 'a full connection is told as an unreachable server',
+    failure: 'a congested connection is reported as an unreachable server',
     outcome: 'refused-not-run peer-congested',
     script: ['not-sent congested', 'not-sent congested'],
     servers: 2,
@@ -58,14 +58,14 @@
   },
   {
     attempts: 3,
-    failure: 'refusals go on to more than 3 targets',
+    failure: 'a call is sent to another target after 3 refusals',
     outcome: 'refused-not-run no-slot',
     script: ['refused', 'refused', 'refused'],
     servers: 6,
   },
   {
     attempts: 2,
-    failure: 'a refusal is held back although no target is left',
+    failure: 'a refusal is not returned although no target is left',
     outcome: 'refused-not-run no-slot',
     script: ['refused', 'refused'],
     servers: 2,
@@ -80,7 +80,7 @@
   {
     attempts: 2,
     call: nonIdempotent,
-    failure: 'a refused non-idempotent call does not go elsewhere',
+    failure: 'a refused non-idempotent call is not sent to another target',
     outcome: 'answered 201',
     script: ['refused', 'answered 201'],
     servers: 3,
@@ -88,7 +88,7 @@
   {
     attempts: 2,
     call: nonIdempotent,
-    failure: 'a non-idempotent call that was not sent does not go elsewhere',
+    failure: 'a non-idempotent call that could not be sent is not sent to another target',
     outcome: undefined,
     script: ['not-sent'],
     servers: 3,
@@ -96,7 +96,7 @@
   {
     attempts: 1,
     call: nonIdempotent,
-    failure: 'a non-idempotent call is repeated after a failure',
+    failure: 'a non-idempotent call is retried after a failure',
     outcome: 'outcome-unknown upstream-failed',
     script: ['failed'],
     servers: 3,
@@ -104,7 +104,7 @@
   {
     attempts: 1,
     call: nonIdempotent,
-    failure: 'a non-idempotent call is repeated after a lost connection',
+    failure: 'a non-idempotent call is retried after a lost connection',
     outcome: 'outcome-unknown connection-lost',
     script: ['peer-lost'],
     servers: 3,
@@ -112,42 +112,42 @@
   {
     attempts: 1,
     call: nonIdempotent,
-    failure: 'a non-idempotent call is repeated after an error status',
+    failure: 'a non-idempotent call is retried after an error status',
     outcome: 'answered 503',
     script: ['answered 503'],
     servers: 3,
   },
   {
     attempts: 2,
-    failure: 'an idempotent call gives up at the first failure',
+    failure: 'an idempotent call is not retried after a failure',
     outcome: 'answered 200',
     script: ['failed', 'answered 200'],
     servers: 3,
   },
   {
     attempts: 2,
-    failure: 'an overloaded upstream is not passed over',
+    failure: 'an idempotent call is not retried after an upstream answered that it is overloaded',
     outcome: 'answered 200',
     script: ['answered 503', 'answered 200'],
     servers: 3,
   },
   {
     attempts: 1,
-    failure: 'an error of the request itself is repeated',
+    failure: 'a request that itself causes an error is retried',
     outcome: 'answered 500',
     script: ['answered 500'],
     servers: 3,
   },
   {
     attempts: 2,
-    failure: 'a call is said not to have run although its first attempt failed',
+    failure: 'a call is reported as not run although its first attempt failed',
     outcome: 'outcome-unknown upstream-failed',
     script: ['failed', 'refused'],
     servers: 2,
   },
   {
     attempts: 2,
-    failure: 'a call is said not to have run although an upstream answered with an error',
+    failure: 'a call is reported as not run although an upstream answered with an error',
     outcome: 'outcome-unknown upstream-failed',
     script: ['answered 503', 'refused'],
     servers: 2,
@@ -215,23 +215,23 @@
   assert.is.not(servers[1], 's3');
 });
 
-test('results of attempts that are not wanted are ignored and counted', () => {
+test('results of attempts that have already ended are ignored and counted', () => {
   const engine = engineWith(3);
   new ScriptedCall(engine).play(['answered 200', 'answered 200', 'refused', 'failed', 'not-sent']);
   assert.is(engine.lateResults, 4);
 });
 
-/** An engine that knows a p95 latency of about 20 ms, with calls numbered from 100. */
+/** Creates an engine that has observed a p95 latency of about 20 ms in calls numbered from 100. */
 function engineWithLatency(servers: number): ReturnType<typeof engineWith> {
   const engine = engineWith(servers);
   for (let number = 100; number < 140; number += 1) {
     const [first] = dispatches(engine.begin(call(number), at(0)));
-    engine.answered(first?.attemptId ?? 0, 200, undefined, at(20));
+    engine.onAnswered(first?.attemptId ?? 0, 200, undefined, at(20));
   }
   return engine;
 }
 
-test('a slow idempotent call is hedged once, and the loser is cancelled', () => {
+test('a slow idempotent call is hedged once, and the slower attempt is cancelled', () => {
   const engine = engineWithLatency(3);
   const [first] = dispatches(engine.begin(call(1), at(100)));
   assert.is(engine.tick(at(110)).length, 0);
@@ -239,7 +239,7 @@
   assert.is(hedge?.retryReason, 'hedge');
   assert.is.not(hedge?.target.server, first?.target.server);
   assert.is(engine.tick(at(300)).length, 0);
-  const end = engine.answered(hedge?.attemptId ?? 0, 200, undefined, at(301));
+  const end = engine.onAnswered(hedge?.attemptId ?? 0, 200, undefined, at(301));
   assert.equal(
     end.map((command) => [command.kind, command.attemptId]),
     [
@@ -250,7 +250,7 @@
 });
 
 for (const [name, changes] of Object.entries({ nonIdempotent, streamed })) {
-  test(`a ${name} call is not hedged, because its body or its effect can't be repeated`, () => {
+  test(`a ${name} call is not hedged, because it can't be sent twice`, () => {
     const engine = engineWithLatency(3);
     engine.begin(call(1, changes), at(100));
     assert.equal(engine.tick(at(500)), []);
@@ -261,25 +261,25 @@
   const engine = engineWithLatency(2);
   const [first] = dispatches(engine.begin(call(1), at(100)));
   const [hedge] = dispatches(engine.tick(at(130)));
-  assert.equal(engine.refused(hedge?.attemptId ?? 0, { reason: 'no-slot' }, at(131)), []);
-  const end = engine.answered(first?.attemptId ?? 0, 200, undefined, at(140));
+  assert.equal(engine.onRefused(hedge?.attemptId ?? 0, { reason: 'no-slot' }, at(131)), []);
+  const end = engine.onAnswered(first?.attemptId ?? 0, 200, undefined, at(140));
   assert.is(outcomes(end)[0]?.kind, 'answered');
 });
 
-test('retries stop when the budget is spent, so that an outage is not amplified', () => {
+test('retries stop when the budget is exhausted, so that an outage is not amplified', () => {
   const engine = engineWith(6);
   let attempts = 0;
   for (let number = 1; number <= 500; number += 1) {
     const queue = [...dispatches(engine.begin(call(number), at(1)))];
     for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
       attempts += 1;
-      queue.push(...dispatches(engine.failed(next.attemptId, undefined, at(2))));
+      queue.push(...dispatches(engine.onFailed(next.attemptId, undefined, at(2))));
     }
   }
   assert.is(attempts, 520);
 });
 
-test('a tick ends the due calls and no others, however many there are', () => {
+test('a tick concludes only the calls whose deadline has passed, out of 50,000', () => {
   const engine = engineWith(3);
   const count = 50_000;
   for (let number = 1; number <= count; number += 1) {
@@ -290,7 +290,7 @@
   assert.is(engine.callsInProgress, count - 1);
 });
 
-test('an attempt after a refusal says why it was made, so that its counter can rise', () => {
+test('an attempt after a refusal carries its retry reason, which is counted', () => {
   const { commands } = new ScriptedCall(engineWith(3)).play(['refused', 'answered 200']);
   const reasons = dispatches(commands).map(({ retryReason }) => retryReason);
   assert.equal(reasons, [undefined, 'refused-elsewhere']);
--- a/packages/core/tests/calls/setup.ts
+++ b/packages/core/tests/calls/setup.ts
@@ -22,7 +22,7 @@
 
 export function call(callNumber: number, changes: Partial<Call> = {}): Call {
   return {
-    bodyHeld: true,
+    isBodyReplayable: true,
     callNumber,
     deadline,
     requestClass: 'idempotent',
@@ -68,17 +68,21 @@
     const retryAfterMilliseconds = parameter === '' ? undefined : Number(parameter);
     switch (kind) {
       case 'refused':
-        return engine.refused(attempt, { reason: 'no-slot', retryAfterMilliseconds }, at(this.now));
+        return engine.onRefused(
+          attempt,
+          { reason: 'no-slot', retryAfterMilliseconds },
+          at(this.now),
+        );
       case 'answered':
-        return engine.answered(attempt, Number(parameter), undefined, at(this.now));
+        return engine.onAnswered(attempt, Number(parameter), undefined, at(this.now));
       case 'failed':
-        return engine.failed(attempt, undefined, at(this.now));
+        return engine.onFailed(attempt, undefined, at(this.now));
       case 'not-sent':
-        return engine.notSent(attempt, parameter === 'congested', at(this.now));
+        return engine.onNotSent(attempt, parameter === 'congested', at(this.now));
       case 'peer-lost':
-        return engine.peerLost(server, at(this.now));
+        return engine.onPeerLost(server, at(this.now));
       case 'admitted':
-        return engine.admitted(attempt);
+        return engine.onAdmitted(attempt);
       case 'abandon':
         return engine.abandon(1, at(this.now));
       case 'deadline':
--- a/packages/core/tests/configuration/configuration-history.test.ts
+++ b/packages/core/tests/configuration/configuration-history.test.ts
@@ -37,7 +37,7 @@
 
 const base = configurationOf(1, { a: 1, b: 1 }, ['s1']);
 
-/** Two changes of the same base and whether they may not both hold. */
+/** Two changes of the same base, and whether they conflict. */
 const overlapTable: readonly (readonly [Configuration, Configuration, boolean])[] = [
   [configurationOf(1, { a: 2, b: 1 }, ['s1']), configurationOf(1, { a: 1, b: 2 }, ['s1']), false],
   [configurationOf(1, { a: 2, b: 1 }, ['s1']), configurationOf(1, { a: 3, b: 1 }, ['s1']), true],
@@ -53,7 +53,7 @@
   });
 }
 
-test('an operator is told of services, servers and zones that changed, and the order of fields does not count', () => {
+test('changed services, servers and zones are named for operators, and the order of fields is ignored', () => {
   const reordered = { ...base, services: { b: { ...service('b', 1) }, a: { ...service('a', 1) } } };
   assert.equal(describeChangedParts(diffConfigurations(base, reordered)), []);
   const changed = configurationOf(2, { a: 1, c: 1 }, ['s2']);
@@ -71,7 +71,7 @@
   ];
   const ahead = new ConfigurationHistory();
   for (const step of steps) ahead.advance(step);
-  const push = ahead.pushFor(1);
+  const push = ahead.createPush(1);
   assert.is(push.baseRevision, 1);
   for (const count of [1, 2, 3]) {
     const behind = new ConfigurationHistory();
@@ -79,19 +79,19 @@
     assert.equal(behind.applyPush(push), steps[3]);
   }
   assert.is(new ConfigurationHistory().applyPush(push), undefined);
-  assert.equal(new ConfigurationHistory().applyPush(ahead.pushFor(0)), steps[3]);
+  assert.equal(new ConfigurationHistory().applyPush(ahead.createPush(0)), steps[3]);
 });
 
-test('earlier revisions are found exactly or not at all, so that no change is rebased on a guess', () => {
+test('an earlier revision is found exactly or not at all, so that no change is rebased on a wrong base', () => {
   const history = new ConfigurationHistory();
   history.advance(base);
   history.advance(configurationOf(4, { a: 2 }));
-  assert.equal(history.at(1), base);
-  assert.is(history.at(2), undefined);
+  assert.equal(history.configurationAt(1), base);
+  assert.is(history.configurationAt(2), undefined);
   assert.is(history.advance(configurationOf(3, {})), false);
 });
 
-test('the root record stays below 16 KB, and malformed records are refused', () => {
+test('the root record stays below 16 KB, and malformed records are rejected', () => {
   const changeId = '0'.repeat(36);
   const pages = emptyRoot.pages.map(() => `${changeId}@${Number.MAX_SAFE_INTEGER}`);
   const changeIds = Array.from({ length: 256 }, () => changeId);
--- a/packages/core/tests/configuration/configuration-validation.test.ts
+++ b/packages/core/tests/configuration/configuration-validation.test.ts
@@ -27,7 +27,7 @@
 ];
 
 for (const change of validChanges) {
-  test(`accepts ${JSON.stringify(change)}, which is at the edge of what is allowed`, () => {
+  test(`accepts ${JSON.stringify(change)}, which is within the limits`, () => {
     assert.equal(faultsOf(change), []);
   });
 }
@@ -74,13 +74,13 @@
   });
 }
 
-test('a service name that would not fit into a path or a store key is refused', () => {
+test('a service name that is not valid in a path or a store key is rejected', () => {
   for (const name of ['', 'Provenance', 'a/b', '-a', 'a'.repeat(64)]) {
     assert.is.not(faultsOf({ name }, name).length, 0);
   }
 });
 
-test('lists and the whole stay within what a frame and the store hold', () => {
+test('lists and whole configurations that exceed the limits of a frame or the store are rejected', () => {
   const drainedServers = Array.from({ length: 2_001 }, (_, index) => `server-${index}`);
   assert.is(validateConfiguration({ ...emptyConfiguration, drainedServers }).length, 1);
   const tenants = Array.from({ length: 256 }, (_, index) => {
@@ -95,7 +95,7 @@
   );
 });
 
-test('values that are no configuration at all are refused without an exception', () => {
+test('values that are not configurations are rejected without an exception', () => {
   for (const value of [undefined, null, 7, [], {}, { services: { a: null } }]) {
     assert.is.not(validateConfiguration(value).length, 0);
   }
--- a/packages/core/tests/entry/entry-clock.test.ts
+++ b/packages/core/tests/entry/entry-clock.test.ts
@@ -9,7 +9,7 @@
   return { monotonic, wall: epoch + monotonic };
 }
 
-function ticked(...times: readonly number[]): EntryClock {
+function clockAfterTicks(...times: readonly number[]): EntryClock {
   const clock = new EntryClock();
   for (const time of times) {
     clock.tick(at(time));
@@ -23,7 +23,7 @@
   read: number,
   dated: number,
 ])[] = [
-  ['a request in ordinary operation is dated to now', [0, 10, 20], 25, 25],
+  ['a request is dated to now in normal operation', [0, 10, 20], 25, 25],
   ['a request read before the first tick after a pause is dated to its start', [0, 10], 9_000, 10],
   ['a request read after that tick is dated to the start of the pause', [0, 10, 9_000], 9_005, 10],
   ['a second pause within the backlog keeps the first start', [0, 10, 9_000, 10_000], 10_001, 10],
@@ -35,19 +35,20 @@
   ],
 ];
 
-// Guards against a request that waited at a frozen entry and runs after its key was refused elsewhere.
+// Guards against running a request that waited in a socket while its entry was paused, after another
+// node refused its key in the meantime.
 for (const [name, ticks, read, dated] of cases) {
   test(name, () => {
-    assert.is(ticked(...ticks).receivedAt(at(read)), epoch + dated);
+    assert.is(clockAfterTicks(...ticks).arrivalTime(at(read)), epoch + dated);
   });
 }
 
 test('ticks without a gap end the backlog', () => {
-  const clock = ticked(0, 10, 9_000);
+  const clock = clockAfterTicks(0, 10, 9_000);
   for (let time = 9_010; time <= 11_500; time += 10) {
     clock.tick(at(time));
   }
-  assert.is(clock.receivedAt(at(11_505)), epoch + 11_505);
+  assert.is(clock.arrivalTime(at(11_505)), epoch + 11_505);
 });
 
 test.run();
--- a/packages/core/tests/entry/keyed-forwarder-retry.test.ts
+++ b/packages/core/tests/entry/keyed-forwarder-retry.test.ts
@@ -7,7 +7,7 @@
 
 const service = 'issuance';
 
-class Entry {
+class ForwarderHarness {
   public table: HomeTable | undefined;
   public now = 0;
   public readonly forwarder = new KeyedForwarder({
@@ -16,7 +16,7 @@
     table: () => this.table,
   });
 
-  public showTable(version: number, home: string): void {
+  public setTable(version: number, home: string): void {
     const ranges = [{ incarnation: 1, server: home, since: version }];
     this.table = { quorums: [], ranges, service, version };
   }
@@ -39,19 +39,19 @@
   }
 
   public notSent(): string {
-    return describe(this.forwarder.notSent(-1, this.clock()));
+    return describe(this.forwarder.onNotSent(-1, this.clock()));
   }
 
   public notHome(from: string): string {
     const outcome = { kind: 'not-home', table: undefined } as const;
-    return describe(this.forwarder.outcome(from, -1, outcome, this.clock()));
+    return describe(this.forwarder.onOutcome(from, -1, outcome, this.clock()));
   }
 
-  /** A tick, as the board does it. */
-  public pass(milliseconds: number): string {
+  /** Advances the time and runs a tick followed by a table update, as the node does. */
+  public advance(milliseconds: number): string {
     this.now += milliseconds;
     const ended = this.forwarder.tick(this.clock());
-    return describe([...ended, ...this.forwarder.tableChanged(service, this.clock())]);
+    return describe([...ended, ...this.forwarder.onTableChanged(service, this.clock())]);
   }
 
   private clock(): { monotonic: number; wall: number } {
@@ -69,40 +69,40 @@
     .join(' ');
 }
 
-// Guards against a planned stop that makes keys unknown: entries still know the table with the home
-// that has left, and nothing else tells them of the new one.
+// Guards against outcome-unknown answers during a planned stop of a home: entries still use the table
+// that names the stopped home and learn of the new home only by a newer table.
 test('a request that could not be sent to its home waits for a newer table and follows it', () => {
-  const entry = new Entry();
-  entry.showTable(1, 'a');
-  assert.is(entry.begin(), 'to a');
-  assert.is(entry.notSent(), 'need-table');
-  assert.is(entry.pass(10), 'need-table');
-  entry.showTable(2, 'b');
-  assert.is(entry.pass(10), 'to b');
+  const harness = new ForwarderHarness();
+  harness.setTable(1, 'a');
+  assert.is(harness.begin(), 'to a');
+  assert.is(harness.notSent(), 'need-table');
+  assert.is(harness.advance(10), 'need-table');
+  harness.setTable(2, 'b');
+  assert.is(harness.advance(10), 'to b');
 });
 
-// Guards against four sends to the same node within 40 ms after which the request is given up.
-test('a home that says it is none is asked again only after a time or by a newer table', () => {
-  const entry = new Entry();
-  entry.showTable(1, 'a');
-  entry.begin();
-  assert.is(entry.notHome('a'), 'need-table');
-  assert.is(entry.pass(190), 'need-table');
-  assert.is(entry.pass(10), 'to a');
-  entry.notHome('a');
-  entry.showTable(2, 'a');
-  assert.is(entry.pass(10), 'to a');
+// Guards against sending to the same node four times within 40 ms and then giving up the request.
+test('a node that answers not-home is tried again only after a delay or with a newer table', () => {
+  const harness = new ForwarderHarness();
+  harness.setTable(1, 'a');
+  harness.begin();
+  assert.is(harness.notHome('a'), 'need-table');
+  assert.is(harness.advance(190), 'need-table');
+  assert.is(harness.advance(10), 'to a');
+  harness.notHome('a');
+  harness.setTable(2, 'a');
+  assert.is(harness.advance(10), 'to a');
 });
 
-test('a home that stays unreachable ends in an outcome that says so', () => {
-  const entry = new Entry();
-  entry.showTable(1, 'a');
-  entry.begin();
+test('a request whose home stays unreachable ends with the reason home-unreachable', () => {
+  const harness = new ForwarderHarness();
+  harness.setTable(1, 'a');
+  harness.begin();
   for (let tries = 0; tries < 4; tries += 1) {
-    assert.is(entry.notSent(), 'need-table');
-    assert.is(entry.pass(200), 'to a');
+    assert.is(harness.notSent(), 'need-table');
+    assert.is(harness.advance(200), 'to a');
   }
-  assert.is(entry.notSent(), 'home-unreachable');
+  assert.is(harness.notSent(), 'home-unreachable');
 });
 
 test.run();
--- a/packages/core/tests/entry/keyed-forwarder.test.ts
+++ b/packages/core/tests/entry/keyed-forwarder.test.ts
@@ -35,7 +35,7 @@
   return { monotonic, wall: monotonic };
 }
 
-function forwarder(known: HomeTable | undefined): KeyedForwarder {
+function forwarderWithTable(known: HomeTable | undefined): KeyedForwarder {
   return new KeyedForwarder({ nextCallId: () => 7, rangeOf: () => 0, table: () => known });
 }
 
@@ -54,32 +54,32 @@
   readonly outcome: string;
 }[] = [
   {
-    failure: 'a request waits for a table that never comes until its deadline',
+    failure: 'a request waits until its deadline for a table that never arrives',
     known: undefined,
     outcome: 'no-home not-started',
     play: (tested) => tested.tick(at(1_000)),
   },
   {
-    failure: 'a frame that never left is said to have started',
+    failure: 'a request that could not be sent is reported as started',
     known: table,
     outcome: 'home-unreachable not-started',
     play: (tested) => {
-      // The forwarder follows the table a few times before it gives up.
+      // The forwarder sends the request to the home a few more times before it gives up.
       for (let tries = 0; tries < 4; tries += 1) {
-        tested.notSent(7, at(tries * 200));
-        tested.tableChanged('issuance', at((tries + 1) * 200));
+        tested.onNotSent(7, at(tries * 200));
+        tested.onTableChanged('issuance', at((tries + 1) * 200));
       }
-      return tested.notSent(7, at(1_000));
+      return tested.onNotSent(7, at(1_000));
     },
   },
   {
-    failure: 'a request on a lost connection is said not to have started',
+    failure: 'a request on a lost connection is reported as not started',
     known: table,
     outcome: 'connection-lost started',
-    play: (tested) => tested.peerLost('home'),
+    play: (tested) => tested.onPeerLost('home'),
   },
   {
-    failure: 'a silent home keeps the caller past its deadline',
+    failure: 'a home that does not answer makes the caller wait past the deadline',
     known: table,
     outcome: 'deadline-after-start started',
     play: (tested) => tested.tick(at(deadline)),
@@ -87,8 +87,8 @@
 ];
 
 for (const { failure, known, outcome, play } of outcomeCases) {
-  test(`it does not happen that ${failure}`, () => {
-    const tested = forwarder(known);
+  test(`never: ${failure}`, () => {
+    const tested = forwarderWithTable(known);
     assert.equal(conclusions(tested.begin(request, at(0))), []);
     assert.equal(conclusions(play(tested)), [outcome]);
     assert.is(tested.inProgress, 0);
--- a/packages/core/tests/gate/gate-setup.ts
+++ b/packages/core/tests/gate/gate-fixture.ts
@@ -7,8 +7,8 @@
   TenantShare,
 } from '../../src/index.js';
 
-/** A gate with its own clock, an announced upstream and a log of what it decided. */
-export class GateBench {
+/** A gate with a clock under control of the test, an announced upstream and a list of its decisions. */
+export class GateFixture {
   public readonly gate = new Gate();
   public readonly decisions: GateDecision[] = [];
   public time = 1_000;
@@ -22,7 +22,7 @@
   ) {
     const base = { ...serviceDefaults, name: 'antrag', rampMilliseconds, tenants };
     const configuration = { ...base, ...bounds };
-    this.add(this.gate.configure(configuration, this.now));
+    this.record(this.gate.configure(configuration, this.now));
     this.announce(slots);
   }
 
@@ -32,33 +32,33 @@
 
   public announce(slots: number, service = 'antrag'): void {
     const announcement = { address: '127.0.0.1:9', connections: 20, service, slots };
-    this.add(this.gate.announce(announcement, this.now));
+    this.record(this.gate.announce(announcement, this.now));
   }
 
-  public offer(options: { tenant?: string; within?: number; service?: string } = {}): number {
+  public submit(options: { tenant?: string; within?: number; service?: string } = {}): number {
     const executionId = this.nextExecution;
     this.nextExecution += 1;
     const { service = 'antrag', tenant = 'a', within = 2_000 } = options;
     const deadline = this.time + within;
-    this.add(this.gate.offer({ deadline, executionId, service, tenant }, this.now));
+    this.record(this.gate.submit({ deadline, executionId, service, tenant }, this.now));
     return executionId;
   }
 
-  public offerMany(count: number, tenant = 'a'): number[] {
-    return Array.from({ length: count }, () => this.offer({ tenant }));
+  public submitMany(count: number, tenant = 'a'): number[] {
+    return Array.from({ length: count }, () => this.submit({ tenant }));
   }
 
   public finish(executionId: number, end: ExecutionEnd = 'answered', after = 0): void {
     this.time += after;
-    this.add(this.gate.finished(executionId, end, this.now));
+    this.record(this.gate.onFinished(executionId, end, this.now));
   }
 
-  public add(decisions: readonly GateDecision[]): void {
+  public record(decisions: readonly GateDecision[]): void {
     this.decisions.push(...decisions);
   }
 
-  /** `start`, a refusal reason, or `waiting`. */
-  public stateOf(executionId: number): string {
+  /** `start`, the reason of the refusal, or `waiting` if the request is still queued. */
+  public decisionOf(executionId: number): string {
     const decision = this.decisions.find((made) => made.executionId === executionId);
     if (decision === undefined) return 'waiting';
     return decision.kind === 'start' ? 'start' : decision.refusal.reason;
@@ -69,10 +69,10 @@
     return decision?.kind === 'refuse' ? decision.refusal.retryAfterMilliseconds : undefined;
   }
 
-  /** Teaches the gate a service time with requests that run one after the other. */
-  public learn(milliseconds: number, count = 50): void {
+  /** Makes the gate learn a service time from requests that run one after the other. */
+  public trainServiceTime(milliseconds: number, count = 50): void {
     for (let request = 0; request < count; request += 1) {
-      this.finish(this.offer(), 'answered', milliseconds);
+      this.finish(this.submit(), 'answered', milliseconds);
     }
   }
 }
--- a/packages/core/tests/gate/gate-properties.test.ts
+++ b/packages/core/tests/gate/gate-properties.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 
 import { ExecutionEnd } from '../../src/index.js';
-import { GateBench } from './gate-setup.js';
+import { GateFixture } from './gate-fixture.js';
 
 const seed = 20_260_801;
 const tenants = ['a', 'b', 'c'];
@@ -37,89 +37,89 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Replays steps and checks after each that the gate's own counts agree with its decisions. */
-class Replay {
-  private readonly bench = new GateBench(4, 200);
+/** Applies steps to a gate and checks after each that the gate's counts match its decisions. */
+class GateModel {
+  private readonly fixture = new GateFixture(4, 200);
   private readonly waiting = new Set<number>();
   private readonly running = new Set<number>();
-  private draining = false;
-  private seen = 0;
+  private isDraining = false;
+  private checkedDecisions = 0;
 
   public apply(next: Step): void {
     const limitBefore = this.limit();
     const runningBefore = this.running.size;
-    const offered = this.perform(next);
-    const started = this.collect(offered);
-    const load = this.bench.gate.load(this.bench.now);
+    const submitted = this.perform(next);
+    const started = this.applyDecisions(submitted);
+    const load = this.fixture.gate.loadReport(this.fixture.now);
     assert.is(load?.inFlight, this.running.size);
     assert.is(load?.queued, this.waiting.size);
-    assert.is(this.bench.gate.occupied, this.running.size + this.waiting.size);
+    assert.is(this.fixture.gate.requestCount, this.running.size + this.waiting.size);
     if (started > 0) {
-      assert.not(this.draining, 'a draining gate started a request');
+      assert.not(this.isDraining, 'a draining gate started a request');
       const allowed = Math.max(limitBefore, this.limit(), runningBefore);
       const isTrial = load?.state === 'down';
       assert.ok(isTrial || this.running.size <= allowed, 'the limit was exceeded');
     }
-    if (this.draining) assert.is(this.waiting.size, 0);
+    if (this.isDraining) assert.is(this.waiting.size, 0);
   }
 
   private limit(): number {
-    return this.bench.gate.load(this.bench.now)?.limit ?? 0;
+    return this.fixture.gate.loadReport(this.fixture.now)?.limit ?? 0;
   }
 
   private perform(next: Step): number | undefined {
-    const { bench } = this;
+    const { fixture } = this;
     switch (next.kind) {
       case 'offer':
-        return bench.offer({ tenant: tenants[next.tenant] ?? 'a', within: next.within });
+        return fixture.submit({ tenant: tenants[next.tenant] ?? 'a', within: next.within });
       case 'finish': {
         const execution = [...this.running][next.pick % Math.max(1, this.running.size)];
         if (execution === undefined) return undefined;
         this.running.delete(execution);
-        bench.finish(execution, next.end);
+        fixture.finish(execution, next.end);
         return undefined;
       }
       case 'cancel': {
         const execution = [...this.waiting][next.pick % Math.max(1, this.waiting.size)];
-        if (execution !== undefined) assert.ok(bench.gate.cancelWaiting(execution));
+        if (execution !== undefined) assert.ok(fixture.gate.cancelWaiting(execution));
         this.waiting.delete(execution ?? 0);
         return undefined;
       }
       case 'drain':
-        this.draining = next.draining;
-        bench.add(bench.gate.setDraining(next.draining, bench.now));
+        this.isDraining = next.draining;
+        fixture.record(fixture.gate.setDraining(next.draining, fixture.now));
         return undefined;
       case 'poll':
-        bench.add(bench.gate.polled(next.healthy, next.inFlight, bench.now));
+        fixture.record(fixture.gate.onPolled(next.healthy, next.inFlight, fixture.now));
         return undefined;
       case 'announce':
-        bench.announce(next.slots);
+        fixture.announce(next.slots);
         return undefined;
       case 'wait':
-        bench.time += next.milliseconds;
-        bench.add(bench.gate.tick(bench.now));
+        fixture.time += next.milliseconds;
+        fixture.record(fixture.gate.tick(fixture.now));
         return undefined;
     }
   }
 
-  /** Every execution is decided at most once; undecided ones wait. */
-  private collect(offered: number | undefined): number {
-    if (offered !== undefined) this.waiting.add(offered);
-    const fresh = this.bench.decisions.slice(this.seen);
-    this.seen = this.bench.decisions.length;
-    for (const decision of fresh) {
-      assert.ok(this.waiting.delete(decision.executionId), 'decided twice or never offered');
+  /** Checks that each execution is decided at most once; returns the number of started ones. */
+  private applyDecisions(submitted: number | undefined): number {
+    if (submitted !== undefined) this.waiting.add(submitted);
+    const newDecisions = this.fixture.decisions.slice(this.checkedDecisions);
+    this.checkedDecisions = this.fixture.decisions.length;
+    for (const decision of newDecisions) {
+      assert.ok(this.waiting.delete(decision.executionId), 'decided twice or never submitted');
       if (decision.kind === 'start') this.running.add(decision.executionId);
     }
-    return fresh.filter((decision) => decision.kind === 'start').length;
+    return newDecisions.filter((decision) => decision.kind === 'start').length;
   }
 }
 
-test('in any order of events the in-flight set is exact, bounded, and each request decided once', () => {
+test('for any order of events the in-flight set is exact and bounded, and each request is decided once', () => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 120 }), (steps) => {
-      const replay = new Replay();
-      for (const next of steps) replay.apply(next);
+      const model = new GateModel();
+      for (const next of steps) model.apply(next);
     }),
     { numRuns: 300, seed },
   );
--- a/packages/core/tests/gate/gradient-concurrency-limit.test.ts
+++ b/packages/core/tests/gate/gradient-concurrency-limit.test.ts
@@ -13,7 +13,10 @@
   readonly exponential: boolean;
 }
 
-/** Limits after each window of an upstream that is kept full and shares its real slots fairly. */
+/**
+ * Returns the limit after each window, for an upstream that always runs at the limit and whose latency
+ * rises in proportion once more requests are in flight than it has real slots.
+ */
 function limitsAfter(
   limit: GradientConcurrencyLimit,
   upstream: Upstream,
@@ -31,58 +34,58 @@
       const latencyMilliseconds = upstream.meanMilliseconds * slowdown * draw;
       time += latencyMilliseconds / inFlight;
       const sample = { inFlight, inFlightAtStart: inFlight, latencyMilliseconds, startedAt: time };
-      limit.answered(sample, time);
+      limit.onAnswered(sample, time);
     }
     limits.push(limit.limit);
   }
   return limits;
 }
 
-function announced(slots: number): GradientConcurrencyLimit {
+function createLimit(slots: number): GradientConcurrencyLimit {
   const limit = new GradientConcurrencyLimit(defaultConcurrencyLimitSettings);
-  limit.announce(slots, true);
+  limit.setSlots(slots, true);
   return limit;
 }
 
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-test('an honest upstream with varying service times is not throttled', () => {
+test('an upstream that has its announced slots is not throttled because its service times vary', () => {
   const limits = limitsAfter(
-    announced(10),
+    createLimit(10),
     { exponential: true, meanMilliseconds: 20, realSlots: 10 },
     200,
   );
   assert.ok(mean(limits) > 9.5, `mean limit ${mean(limits)}`);
 });
 
-test('an upstream that announces 10 slots and has 4 is run at about 4', () => {
-  const limit = announced(4);
+test('an upstream that announces 10 slots but has 4 is limited to about 4', () => {
+  const limit = createLimit(4);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 20, realSlots: 4 }, 3);
-  limit.announce(10, false);
+  limit.setSlots(10, false);
   const limits = limitsAfter(limit, { exponential: true, meanMilliseconds: 20, realSlots: 4 }, 100);
   const settled = mean(limits.slice(20));
   assert.ok(settled > 4 && settled < 6.5, `mean limit ${settled}`);
 });
 
-test('an upstream that became slower at any concurrency gets its slots back', () => {
-  const limit = announced(10);
+test('an upstream that became slower at any concurrency regains all its slots', () => {
+  const limit = createLimit(10);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 20, realSlots: 10 }, 3);
   const limits = limitsAfter(
     limit,
     { exponential: false, meanMilliseconds: 60, realSlots: 10 },
     10,
   );
-  assert.ok(Math.min(...limits) < 10, 'the slower latency was not noticed');
+  assert.ok(Math.min(...limits) < 10, 'the increased latency did not lower the limit');
   assert.is(limits.at(-1), 10);
 });
 
-test('requests from before a decrease do not count as evidence that it was useless', () => {
-  const limit = announced(10);
+test('requests started before a decrease are not used to evaluate it', () => {
+  const limit = createLimit(10);
   const window = (latencyMilliseconds: number, startedAt: number, now: number): void => {
     const inFlight = limit.limit;
     const sample = { inFlight, inFlightAtStart: inFlight, latencyMilliseconds, startedAt };
-    for (let count = 0; count < 100; count += 1) limit.answered(sample, now);
+    for (let count = 0; count < 100; count += 1) limit.onAnswered(sample, now);
   };
   window(20, 1, 100);
   window(50, 101, 200);
@@ -91,24 +94,24 @@
   assert.is(limit.limit, 5);
 });
 
-test('never: a trial of a lower limit takes most of the slots of an upstream that is slow anyway', () => {
-  const limit = announced(10);
+test('a trial of a lower limit withholds at most half of the slots and is reverted after 50 answers', () => {
+  const limit = createLimit(10);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 40, realSlots: 10 }, 3);
   const slow = { exponential: false, meanMilliseconds: 200, realSlots: 10 };
-  // The ratio of 5 alone would leave 2 slots, and 100 answers would take 10 s with them.
+  // Lowering by the ratio of 5 would leave 2 slots, with which 100 answers would take 10 s.
   assert.equal(limitsAfter(limit, slow, 1), [5]);
   const sample = { inFlight: 5, inFlightAtStart: 5, latencyMilliseconds: 200, startedAt: 1e9 };
   let answers = 0;
-  for (; limit.limit < 10 && answers < 1_000; answers += 1) limit.answered(sample, 1e9);
-  assert.is(answers, defaultConcurrencyLimitSettings.verdictSamples);
+  for (; limit.limit < 10 && answers < 1_000; answers += 1) limit.onAnswered(sample, 1e9);
+  assert.is(answers, defaultConcurrencyLimitSettings.trialSamples);
 });
 
-test('after an overload an upstream with many slots has them back soon', () => {
-  const limit = announced(200);
+test('an upstream with many slots regains them within 15 windows after an overload', () => {
+  const limit = createLimit(200);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 5, realSlots: 200 }, 3);
-  // Each decrease halves the limit at most and needs a verdict before the next one.
+  // A decrease at most halves the limit and is evaluated before the next one.
   limitsAfter(limit, { exponential: false, meanMilliseconds: 5, realSlots: 8 }, 8);
-  const paused = limit.limit;
+  const limitAfterOverload = limit.limit;
   const limits = limitsAfter(
     limit,
     { exponential: false, meanMilliseconds: 5, realSlots: 200 },
@@ -116,14 +119,14 @@
     10_000,
   );
   const windowsNeeded = limits.findIndex((reached) => reached === 200) + 1;
-  assert.ok(paused <= 20, `${paused}`);
-  // One slot per window took 190 windows, 19,000 answers.
+  assert.ok(limitAfterOverload <= 20, `${limitAfterOverload}`);
+  // Raising the limit by one slot per window took 190 windows, that is 19,000 answers.
   assert.ok(windowsNeeded > 0 && windowsNeeded <= 15, limits.join(' '));
 });
 
-/** Limits after each window when 1 to 10 requests run beside each other and set the latency. */
+/** Returns the limit after each window, with 1 to 10 concurrent requests that determine the latency. */
 function limitsUnderVaryingLoad(latencyOf: (inFlight: number) => number): number[] {
-  const limit = announced(10);
+  const limit = createLimit(10);
   const random = new SeededRandomSource(7);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 20, realSlots: 10 }, 3);
   return Array.from({ length: 4 }, (_, window) => {
@@ -132,26 +135,26 @@
       const latencyMilliseconds = latencyOf(inFlight) * (0.5 + random.next());
       const time = 10_000 * (window + 1) + count;
       const sample = { inFlight, inFlightAtStart: inFlight, latencyMilliseconds, startedAt: time };
-      limit.answered(sample, time);
+      limit.onAnswered(sample, time);
     }
     return limit.limit;
   });
 }
 
-test('never: an upstream that is as slow with few requests as with many loses slots to a trial', () => {
+test('an upstream whose latency does not depend on concurrency keeps all its slots', () => {
   assert.equal(
     limitsUnderVaryingLoad(() => 100),
     [10, 10, 10, 10],
   );
 });
 
-test('never: an overloaded upstream keeps its limit because the load varies', () => {
+test('an overloaded upstream is limited even though the load varies', () => {
   const limits = limitsUnderVaryingLoad((inFlight) => 20 * inFlight);
   assert.ok(limits.at(-1) !== undefined && Math.max(...limits) < 10, limits.join(' '));
 });
 
 test('the limit never leaves the range from 1 to the announced slots', () => {
-  const limit = announced(3);
+  const limit = createLimit(3);
   limitsAfter(limit, { exponential: false, meanMilliseconds: 1, realSlots: 3 }, 1);
   const limits = limitsAfter(
     limit,
--- a/packages/core/tests/homes/home-keeper.test.ts
+++ b/packages/core/tests/homes/home-keeper.test.ts
@@ -8,7 +8,7 @@
   MemberRecord,
   RecordUsage,
 } from '../../src/index.js';
-import { defaultHomeSettings, HomeKeeper } from '../../src/index.js';
+import { defaultHomeSettings, HomeManager } from '../../src/index.js';
 import { MemberDirectory } from '../../src/homes/member-directory.js';
 import { keyCreatedAt } from './shared/home-checks.js';
 import { epoch } from './shared/home-network.js';
@@ -16,53 +16,56 @@
 const service = 'issuance';
 const key = keyCreatedAt(epoch + 4_000, 1);
 
-function member(server: string, zone: string, ofService = service): MemberRecord {
+function member(server: string, zone: string, memberService = service): MemberRecord {
   return {
     availabilityZone: zone,
     incarnation: 1,
     peerAddress: server,
     region: 'r',
     server,
-    service: ofService,
+    service: memberService,
     slots: 1,
     state: 'serving',
   };
 }
 
-/** A single home that is its own witness, and a store that answers at once. */
+/** A single home that is its own witness, with a store that replies immediately. */
 class SingleHome {
   private now = 0;
   private stored: { key: string; value: string; version: number } | undefined;
-  private readonly keeper: HomeKeeper;
+  private readonly manager: HomeManager;
   private callId = 0;
   public readonly dispatches: number[] = [];
   public readonly replies = new Map<number, KeyedOutcome>();
 
   public constructor(settings: Partial<HomeSettings> = {}) {
     const self = { incarnation: 1, server: 'a' };
-    this.keeper = new HomeKeeper(self, { ...defaultHomeSettings, ...settings });
-    this.take(this.keeper.members([member('a', 'z')], new Set(), this.clock()));
-    this.pass(4_000);
+    this.manager = new HomeManager(self, { ...defaultHomeSettings, ...settings });
+    this.execute(this.manager.onMembersChanged([member('a', 'z')], new Set(), this.clock()));
+    this.advance(4_000);
   }
 
-  public pass(milliseconds: number): void {
+  public advance(milliseconds: number): void {
     for (const end = this.now + milliseconds; this.now < end; this.now += 100) {
-      this.take(this.keeper.tick(this.clock()));
+      this.execute(this.manager.tick(this.clock()));
     }
   }
 
-  /** Shows the home a table in which it has held its ranges only since the newest version. */
-  public loseAndRegain(): void {
-    const known = this.keeper.table(service);
+  /** Sends the home a table in which it has been the home of its ranges only since that version. */
+  public loseAndRegainRanges(): void {
+    const known = this.manager.table(service);
     if (known === undefined) throw new Error('the table is missing');
     const version = known.version + 2;
     const ranges = known.ranges.map((home) => home && { ...home, since: version });
     const table = { ...known, ranges, version };
-    this.take(this.keeper.frame('b', { kind: 'home-table', service, table }, this.clock()));
+    this.execute(this.manager.onFrame('b', { kind: 'home-table', service, table }, this.clock()));
   }
 
-  /** Sends a request that entered that long ago and returns its outcome, if there is one. */
-  public request(ofKey: string, digest = 'd', age = 0): KeyedOutcome | undefined {
+  /**
+   * Sends a request that its entry received `age` milliseconds ago; returns its outcome, if there
+   * is one yet.
+   */
+  public request(requestKey: string, digest = 'd', age = 0): KeyedOutcome | undefined {
     this.callId += 1;
     const head = {
       depth: 0,
@@ -78,16 +81,16 @@
       callId: this.callId,
       digest,
       head,
-      key: ofKey,
+      key: requestKey,
       kind: 'keyed-request',
       receivedAt: this.clock().wall - age,
       remainingMilliseconds: 1_000,
     } as const;
-    this.take(this.keeper.request('entry', frame, this.clock()));
+    this.execute(this.manager.onRequest('entry', frame, this.clock()));
     return this.replies.get(this.callId);
   }
 
-  public conclude(
+  public finishAttempt(
     kind: 'answered' | 'refused' | 'unknown',
     bytes: number | 'too-large' = 10,
   ): void {
@@ -100,17 +103,17 @@
         : kind === 'refused'
           ? ({ kind: 'refused-not-run', reason: 'no-slot' } as const)
           : ({ attemptStarted: true, kind: 'outcome-unknown', reason: 'connection-lost' } as const);
-    this.take(this.keeper.concluded(dispatchId, outcome, answer, this.clock()));
+    this.execute(this.manager.onAttemptConcluded(dispatchId, outcome, answer, this.clock()));
   }
 
-  public question(ofKey: string): string {
-    const frame = { callId: 0, key: ofKey, kind: 'key-question', service } as const;
-    const [answer] = this.keeper.question('entry', frame, this.clock());
+  public askState(questionKey: string): string {
+    const frame = { callId: 0, key: questionKey, kind: 'key-question', service } as const;
+    const [answer] = this.manager.onKeyQuestion('entry', frame, this.clock());
     return answer?.kind === 'send' && answer.frame.kind === 'key-answer' ? answer.frame.state : '';
   }
 
   public get usage(): RecordUsage {
-    return this.keeper.recordUsage;
+    return this.manager.recordUsage;
   }
 
   public get records(): number {
@@ -125,7 +128,7 @@
     return { monotonic: this.now, wall: epoch + this.now };
   }
 
-  private take(commands: readonly HomeCommand[]): void {
+  private execute(commands: readonly HomeCommand[]): void {
     for (const command of commands) {
       if (command.kind === 'run-keyed') this.dispatches.push(command.dispatchId);
       if (command.kind === 'keyed-reply') this.replies.set(command.callId, command.outcome);
@@ -134,13 +137,15 @@
       if (operation.kind === 'compare-and-swap') {
         const version = operation.expectedVersion + 1;
         this.stored = { key: operation.key, value: operation.value, version };
-        this.take(this.keeper.storeResult(operationId, { kind: 'written', version }, this.clock()));
+        this.execute(
+          this.manager.onStoreResult(operationId, { kind: 'written', version }, this.clock()),
+        );
       } else {
         const result =
           this.stored === undefined
             ? ({ kind: 'missing' } as const)
             : ({ entry: this.stored, kind: 'found' } as const);
-        this.take(this.keeper.storeResult(operationId, result, this.clock()));
+        this.execute(this.manager.onStoreResult(operationId, result, this.clock()));
       }
     }
   }
@@ -157,129 +162,130 @@
   home.request(key);
   home.request(key);
   assert.is(home.dispatches.length, 1);
-  home.conclude('answered');
+  home.finishAttempt('answered');
   assert.equal([...home.replies.values()].map(reasonOf), ['answered', 'recorded']);
   assert.is(reasonOf(home.request(key)), 'recorded');
-  assert.is(home.question(key), 'ran');
+  assert.is(home.askState(key), 'ran');
 });
 
-test('a key with another body is refused in every state of the key', () => {
+test('a resend with a different body is refused in every state of the key', () => {
   const home = new SingleHome();
   home.request(key);
   assert.is(reasonOf(home.request(key, 'other')), 'key-reused');
-  home.conclude('answered');
+  home.finishAttempt('answered');
   assert.is(reasonOf(home.request(key, 'other')), 'key-reused');
   assert.is(home.dispatches.length, 0);
 });
 
-test('a lost dispatch is never dispatched again', () => {
+test('an attempt whose connection was lost is never dispatched again', () => {
   const home = new SingleHome();
   home.request(key);
-  home.conclude('unknown');
+  home.finishAttempt('unknown');
   assert.is(reasonOf(home.request(key)), 'connection-lost');
-  assert.is(home.question(key), 'unknown');
+  assert.is(home.askState(key), 'unknown');
 });
 
-test('an attempt from before a refusal is void, a later one runs', () => {
+test('an attempt received before a refusal is void, a later one runs', () => {
   const home = new SingleHome();
   home.request(key);
-  home.conclude('refused');
-  home.pass(200);
+  home.finishAttempt('refused');
+  home.advance(200);
   assert.is(reasonOf(home.request(key, 'd', 300)), 'void-attempt');
-  home.pass(1_100);
+  home.advance(1_100);
   assert.is(reasonOf(home.request(key)), 'waits');
   assert.is(home.dispatches.length, 1);
 });
 
-test('a range that another home held in between starts again with a cutoff', () => {
+test('a range that had another home in between starts again with a cutoff', () => {
   const home = new SingleHome();
   home.request(key);
-  home.conclude('answered');
-  home.loseAndRegain();
-  home.pass(4_000);
+  home.finishAttempt('answered');
+  home.loseAndRegainRanges();
+  home.advance(4_000);
   assert.is(reasonOf(home.request(key)), 'created-before-takeover');
 });
 
-test('an answer that a question got is not contradicted by an earlier attempt', () => {
+test('after the answer "not run" to a question, an attempt received earlier is void', () => {
   const home = new SingleHome();
-  assert.is(home.question(key), 'not-run');
-  home.pass(200);
+  assert.is(home.askState(key), 'not-run');
+  home.advance(200);
   assert.is(reasonOf(home.request(key, 'd', 300)), 'void-attempt');
 });
 
-test('a full store refuses new keys, and attempts from then stay void', () => {
+test('a full key store refuses new keys, and attempts received until then stay void', () => {
   const home = new SingleHome({ maximumRecords: 1, retentionMilliseconds: 10_000 });
   home.request(key);
-  home.conclude('answered');
-  home.pass(5_000);
+  home.finishAttempt('answered');
+  home.advance(5_000);
   const late = keyCreatedAt(epoch + 9_000, 2);
   assert.is(reasonOf(home.request(late)), 'key-store-full');
   assert.is(home.records, 1);
-  home.pass(8_000);
+  home.advance(8_000);
   assert.is(reasonOf(home.request(late, 'd', 8_000)), 'void-attempt');
 });
 
-// A peak fills the store within minutes; without this every new key was refused for the rest of the day.
-test('a full store forgets its oldest keys, which never run again', () => {
+// Guards against a key store that is filled by a peak of some minutes and then refuses every new key
+// for the rest of the day.
+test('a full key store evicts its oldest keys, which never run again', () => {
   const home = new SingleHome({ maximumRecords: 2, minimumRetentionMilliseconds: 10_000 });
   const opaque = 'no-creation-time';
   for (const ofKey of [key, opaque]) {
     home.request(ofKey);
-    home.conclude('answered');
+    home.finishAttempt('answered');
   }
-  const fresh = (): string => keyCreatedAt(epoch + home.elapsed, 3);
-  home.pass(5_000);
-  assert.is(reasonOf(home.request(fresh())), 'key-store-full');
-  home.pass(6_000);
-  const late = fresh();
+  const createFreshKey = (): string => keyCreatedAt(epoch + home.elapsed, 3);
+  home.advance(5_000);
+  assert.is(reasonOf(home.request(createFreshKey())), 'key-store-full');
+  home.advance(6_000);
+  const late = createFreshKey();
   assert.is(reasonOf(home.request(late)), 'waits');
-  home.conclude('answered');
-  assert.is(home.usage.forgotten, 1);
+  home.finishAttempt('answered');
+  assert.is(home.usage.evicted, 1);
   assert.is(home.records, 2);
   assert.is(reasonOf(home.request(key)), 'key-too-old');
   assert.is(reasonOf(home.request(opaque)), 'recorded');
   assert.is(reasonOf(home.request(late)), 'recorded');
 });
 
-test('kept answers are dropped before keys, and the answer says so', () => {
+test('recorded responses are dropped before keys, and a resend gets answer-not-kept', () => {
   const home = new SingleHome({ keyRecordBytes: 1_000 });
   home.request(key);
-  home.conclude('answered', 500);
+  home.finishAttempt('answered', 500);
   home.request(keyCreatedAt(epoch + 4_000, 2));
-  home.conclude('answered', 500);
+  home.finishAttempt('answered', 500);
   assert.is(reasonOf(home.request(key)), 'answer-not-kept');
 });
 
-// Guards against a caller that fills the memory of the home with resends of one key.
-test('a key that runs has a bounded number of waiting requests, which all get its answer', () => {
+// Guards against a caller that exhausts the home's memory with resends of one key.
+test('a limited number of requests wait for a running attempt, and all of them get its answer', () => {
   const home = new SingleHome();
   const waiting = 64;
   for (let count = 0; count < waiting; count += 1) home.request(key);
   assert.is(reasonOf(home.request(key)), 'key-busy');
-  home.conclude('answered');
+  home.finishAttempt('answered');
   const outcomes = [...home.replies.values()];
   assert.is(outcomes.filter(({ kind }) => kind === 'answered').length, waiting);
   assert.is(home.dispatches.length, 0);
 });
 
-test('an answer that was too large to collect is reported as such, and nothing runs again', () => {
+test('an answer that exceeds the size limit is reported as such, and the key does not run again', () => {
   const home = new SingleHome();
   home.request(key);
-  home.conclude('answered', 'too-large');
+  home.finishAttempt('answered', 'too-large');
   assert.equal([...home.replies.values()].map(reasonOf), ['answer-too-large']);
   assert.is(reasonOf(home.request(key)), 'answer-too-large');
   assert.is(home.dispatches.length, 0);
 });
 
-test('a home whose witness promises nothing yet runs nothing and says no-lease', () => {
+test('a home whose witness has not promised a lease runs nothing and replies no-lease', () => {
   const home = new SingleHome({ leaseMilliseconds: 20_000 });
   assert.is(reasonOf(home.request(key)), 'waits');
-  home.pass(1_500);
+  home.advance(1_500);
   assert.equal([...home.replies.values()].map(reasonOf), ['no-lease']);
   assert.is(home.dispatches.length, 0);
 });
 
-test('witnesses are spread over zones, own servers first, in an odd number', () => {
+test('an odd number of witnesses is spread across zones, servers of the service first', () => {
   const directory = new MemberDirectory(defaultHomeSettings);
   const own = [member('a1', 'za'), member('a2', 'za'), member('b1', 'zb')];
   const others = ['za', 'zb', 'zc'].map((zone) => member(`other-${zone}`, zone, 'retirement'));
--- a/packages/core/tests/homes/home-network.test.ts
+++ b/packages/core/tests/homes/home-network.test.ts
@@ -9,15 +9,17 @@
 import type { FaultRates } from './shared/home-network.js';
 
 const serverCount = 5;
+/**
+ * All nodes start at the same time, so their witnesses wait one lease before the first activation.
+ */
 const warmUpMilliseconds = 5_000;
 const faultyMilliseconds = 18_000;
-/** All nodes start at once, so their witnesses wait one lease before the first activation. */
 const faultRates: FaultRates = {
   connectionLoss: 0.2,
   dispatchLoss: 0.05,
   duplicate: 0.05,
   gateRefusal: 0.1,
-  skewMilliseconds: 500,
+  clockSkewMilliseconds: 500,
   slowFrame: 0.01,
   storeAnswerLoss: 0.2,
 };
@@ -39,13 +41,17 @@
 });
 type Fault = typeof fault extends fc.Arbitrary<infer Value> ? Value : never;
 
-function schedule(network: HomeNetwork, { at, kind, server, time }: Fault, index: number): void {
+function scheduleFault(
+  network: HomeNetwork,
+  { at, kind, server, time }: Fault,
+  index: number,
+): void {
   const name = `s${server}`;
   network.after(at, () => {
     if (kind === 'outage') {
-      network.storeIsUp = false;
+      network.isStoreUp = false;
       network.after(time, () => {
-        network.storeIsUp = true;
+        network.isStoreUp = true;
       });
     } else if (kind === 'add') network.addNode(`n${index}`, `zone-${index % 3}`);
     else if (network.nodes.get(name)?.state !== 'up') return;
@@ -63,7 +69,10 @@
   });
 }
 
-/** Sends keys with resends through any node; some keys are from the future, early or without a time. */
+/**
+ * Sends keys and resends of them through random nodes. The creation time of a key differs from the
+ * sending time by up to 300 ms, or is up to 2500 ms in the future; some keys have none.
+ */
 function sendKeys(network: HomeNetwork, seed: number, milliseconds: number): void {
   const random = new SeededRandomSource(seed);
   const sendLater = (key: string, delay: number, digest: string): void => {
@@ -88,10 +97,14 @@
   }
 }
 
-function runFaulty(seed: number, faults: readonly Fault[], settings: HomeSettings): HomeNetwork {
+function runWithFaults(
+  seed: number,
+  faults: readonly Fault[],
+  settings: HomeSettings,
+): HomeNetwork {
   const network = new HomeNetwork(seed, serverCount, faultRates, settings);
   network.runFor(warmUpMilliseconds);
-  for (const [index, planned] of faults.entries()) schedule(network, planned, index);
+  for (const [index, planned] of faults.entries()) scheduleFault(network, planned, index);
   sendKeys(network, seed + 1, faultyMilliseconds);
   network.runFor(faultyMilliseconds + 8_000);
   return network;
@@ -104,7 +117,7 @@
   let attempts = 0;
   fc.assert(
     fc.property(faultSchedule, ([seed, faults]) => {
-      const network = runFaulty(seed, faults, defaultHomeSettings);
+      const network = runWithFaults(seed, faults, defaultHomeSettings);
       answered += network.attempts.filter(({ outcome }) => outcome?.kind === 'answered').length;
       attempts += network.attempts.length;
       assert.equal(violations(network), []);
@@ -115,31 +128,31 @@
   assert.ok(answered > attempts / 4, 'most attempts were not answered, so little was tested');
 });
 
-// Records are forgotten, handed over and restored while keys are resent; none may run again.
-test('no key runs twice while full stores forget keys', () => {
+// Records are evicted, handed over and restored while their keys are resent; none may run again.
+test('no key runs twice while full key stores evict keys', () => {
   const settings = {
     ...defaultHomeSettings,
     maximumRecords: 40,
     minimumRetentionMilliseconds: 1_500,
   };
-  let forgotten = 0;
+  let evicted = 0;
   fc.assert(
     fc.property(faultSchedule, ([seed, faults]) => {
-      const network = runFaulty(seed, faults, settings);
+      const network = runWithFaults(seed, faults, settings);
       assert.equal(violations(network), []);
-      for (const { keeper } of network.nodes.values()) forgotten += keeper.recordUsage.forgotten;
+      for (const { manager } of network.nodes.values()) evicted += manager.recordUsage.evicted;
     }),
     { numRuns: 60, seed: 20_262 },
   );
-  assert.ok(forgotten > 1_000, `only ${forgotten} keys were forgotten`);
+  assert.ok(evicted > 1_000, `only ${evicted} keys were evicted`);
 });
 
-test('the check notices when the cutoff and the void rule are ineffective', () => {
-  const settings = { ...defaultHomeSettings, skewMilliseconds: -10_000 };
+test('the check finds violations when the cutoff and the void rule are ineffective', () => {
+  const settings = { ...defaultHomeSettings, maximumClockSkewMilliseconds: -10_000 };
   const details = fc.check(
     fc.property(
       faultSchedule,
-      ([seed, faults]) => violations(runFaulty(seed, faults, settings)).length === 0,
+      ([seed, faults]) => violations(runWithFaults(seed, faults, settings)).length === 0,
     ),
     { endOnFailure: true, numRuns: 30, seed: 7 },
   );
--- a/packages/core/tests/homes/home-takeover.test.ts
+++ b/packages/core/tests/homes/home-takeover.test.ts
@@ -8,8 +8,8 @@
 const keyIntervalMilliseconds = 10;
 const settleMilliseconds = 5_000;
 
-/** Sends a fresh key every 10 ms through the live nodes in turn. */
-function sendFresh(network: HomeNetwork, milliseconds: number): Attempt[] {
+/** Sends a fresh key every 10 ms through the live nodes other than s0, in turn. */
+function sendFreshKeys(network: HomeNetwork, milliseconds: number): Attempt[] {
   const sent: Attempt[] = [];
   for (let at = 0; at < milliseconds; at += keyIntervalMilliseconds) {
     network.after(at, () => {
@@ -27,44 +27,47 @@
   return outcome?.kind === 'answered';
 }
 
-function settled(seed: number, servers: number): HomeNetwork {
+function settledNetwork(seed: number, servers: number): HomeNetwork {
   const network = new HomeNetwork(seed, servers);
   network.runFor(settleMilliseconds);
   return network;
 }
 
-function rangesOf(network: HomeNetwork, server: string): number {
+function rangeCountOf(network: HomeNetwork, server: string): number {
   return network.table()?.ranges.filter((home) => home?.server === server).length ?? 0;
 }
 
-test('without faults every request is answered, also while ranges are spread over more homes', () => {
-  const network = settled(1, 5);
-  const sent = sendFresh(network, 90_000);
+test('without faults every request is answered, also while ranges are rebalanced across homes', () => {
+  const network = settledNetwork(1, 5);
+  const sent = sendFreshKeys(network, 90_000);
   assert.equal(
     sent.filter((attempt) => !isAnswered(attempt)),
     [],
   );
   assert.equal(violations(network), []);
-  const counts = [0, 1, 2, 3, 4].map((index) => rangesOf(network, `s${index}`));
+  const counts = [0, 1, 2, 3, 4].map((index) => rangeCountOf(network, `s${index}`));
   assert.ok(Math.max(...counts) - Math.min(...counts) <= 1, `ranges per home: ${counts.join(' ')}`);
   const slowest = Math.max(...sent.map((attempt) => (attempt.answeredAt ?? 0) - attempt.enteredAt));
   console.log(`slowest answer while ranges moved: ${slowest} ms`);
   assert.is(network.counters.get('home_activations takeover'), undefined);
 });
 
-/** Time from a fault until every later fresh key is answered; the fault hits the home of all ranges. */
+/**
+ * Returns the time in ms from a fault of the home of all ranges until every later fresh key is
+ * answered.
+ */
 function recoveryTime(seed: number, fault: (network: HomeNetwork) => void): number {
-  const network = settled(seed, 5);
+  const network = settledNetwork(seed, 5);
   const home = network.table()?.ranges[0]?.server;
   assert.ok(home !== undefined);
   if (home !== 's0') {
-    // The faults below hit s0, so the ranges move there first.
+    // The faults are applied to s0, so the ranges are moved there first.
     for (const server of ['s1', 's2', 's3', 's4']) if (server === home) network.stop(server);
     network.runFor(settleMilliseconds);
   }
   const at = network.now;
   fault(network);
-  const sent = sendFresh(network, 15_000);
+  const sent = sendFreshKeys(network, 15_000);
   assert.equal(violations(network), []);
   const unanswered = sent.filter((attempt) => !isAnswered(attempt));
   const last = unanswered[unanswered.length - 1];
@@ -114,19 +117,19 @@
 
 test('a planned stop loses no record and makes no outcome unknown', () => {
   for (const seed of [1, 2, 3, 4]) {
-    const network = settled(seed, 4);
+    const network = settledNetwork(seed, 4);
     network.runFor(60_000);
-    const before = sendFresh(network, 1_000);
+    const before = sendFreshKeys(network, 1_000);
     network.after(300, () => {
       network.stop('s2');
     });
-    const during = sendFresh(network, 4_000);
+    const during = sendFreshKeys(network, 4_000);
     assert.equal(
       during.filter((attempt) => !isAnswered(attempt)),
       [],
     );
     assert.is(network.nodes.get('s2')?.state, 'left');
-    assert.is(rangesOf(network, 's2'), 0);
+    assert.is(rangeCountOf(network, 's2'), 0);
     for (const { key } of [...before, ...during]) network.send(key, 's1');
     const resent = network.attempts.slice(-before.length - during.length);
     network.runFor(3_000);
@@ -139,25 +142,25 @@
 });
 
 test('a service that scaled to zero serves fresh keys again and never runs an old one', () => {
-  const network = settled(3, 1);
+  const network = settledNetwork(3, 1);
   const old = keyCreatedAt(epoch + network.now, 999_999);
   network.send(old, 's0');
   network.runFor(1_000);
   network.stop('s0');
   network.runFor(2_000);
   assert.is(network.nodes.get('s0')?.state, 'left');
-  assert.is(rangesOf(network, 's0'), 0);
+  assert.is(rangeCountOf(network, 's0'), 0);
   network.addNode('s1', 'zone-1');
   network.runFor(5_000);
   const resent = network.send(old, 's1');
-  const fresh = sendFresh(network, 500);
+  const fresh = sendFreshKeys(network, 500);
   assert.ok(fresh.every(isAnswered));
   assert.is(resent.outcome?.kind, 'outcome-unknown');
   assert.equal(violations(network), []);
 });
 
-test('a witness that is gone for good is replaced, and the old set is dropped', () => {
-  const network = settled(5, 6);
+test('a witness that does not come back is replaced, and the old set is removed', () => {
+  const network = settledNetwork(5, 6);
   const [gone] = network.table()?.quorums[0] ?? [];
   assert.ok(gone !== undefined);
   network.crash(gone);
@@ -166,13 +169,13 @@
   assert.is(quorums.length, 1);
   assert.is(quorums[0]?.length, 5);
   assert.not.ok(quorums[0]?.includes(gone));
-  assert.ok(sendFresh(network, 500).every(isAnswered));
+  assert.ok(sendFreshKeys(network, 500).every(isAnswered));
 });
 
 test('an outage of the store stops no live home', () => {
-  const network = settled(4, 3);
-  network.storeIsUp = false;
-  const sent = sendFresh(network, 20_000);
+  const network = settledNetwork(4, 3);
+  network.isStoreUp = false;
+  const sent = sendFreshKeys(network, 20_000);
   assert.ok(sent.every(isAnswered));
 });
 
--- a/packages/core/tests/homes/key-rules.test.ts
+++ b/packages/core/tests/homes/key-rules.test.ts
@@ -3,77 +3,108 @@
 
 import { creationTimeOf, defaultHomeSettings as settings } from '../../src/index.js';
 import { rangeOfKey } from '../../src/homes/key-hash.js';
-import { isVoid, judgeNewKey, takeoverBounds } from '../../src/homes/key-rules.js';
+import { isVoidAttempt, decideNewKey, takeoverBounds } from '../../src/homes/key-rules.js';
 import { keyCreatedAt } from './shared/home-checks.js';
 
 const wall = 1_800_000_000_000;
-const day = settings.retentionMilliseconds;
-const none = { cutoff: undefined, voidUntil: undefined };
-const taken = takeoverBounds(wall, settings);
+const retention = settings.retentionMilliseconds;
+const noBounds = { cutoff: undefined, voidUntil: undefined };
+const afterTakeover = takeoverBounds(wall, settings);
 
-const judgements = [
-  { name: 'fresh key, first table', created: wall, bounds: none, at: wall, expected: 'run' },
-  { name: 'key at the tolerance', created: wall + 500, bounds: none, at: wall, expected: 'run' },
-  { name: 'future key', created: wall + 501, bounds: none, at: wall, expected: 'key-from-future' },
-  { name: 'key at retention', created: wall - day, bounds: none, at: wall, expected: 'run' },
-  { name: 'old key', created: wall - day - 1, bounds: none, at: wall, expected: 'key-too-old' },
-  { name: 'opaque key, first table', created: undefined, bounds: none, at: wall, expected: 'run' },
+const decisions = [
+  { name: 'fresh key, first table', created: wall, bounds: noBounds, at: wall, expected: 'run' },
+  {
+    name: 'key at the tolerance',
+    created: wall + 500,
+    bounds: noBounds,
+    at: wall,
+    expected: 'run',
+  },
+  {
+    name: 'future key',
+    created: wall + 501,
+    bounds: noBounds,
+    at: wall,
+    expected: 'key-from-future',
+  },
+  {
+    name: 'key at retention',
+    created: wall - retention,
+    bounds: noBounds,
+    at: wall,
+    expected: 'run',
+  },
+  {
+    name: 'old key',
+    created: wall - retention - 1,
+    bounds: noBounds,
+    at: wall,
+    expected: 'key-too-old',
+  },
+  {
+    name: 'opaque key, first table',
+    created: undefined,
+    bounds: noBounds,
+    at: wall,
+    expected: 'run',
+  },
   {
     name: 'at the cutoff',
     created: wall + 1_000,
-    bounds: taken,
+    bounds: afterTakeover,
     at: wall,
     expected: 'created-before-takeover',
   },
   {
     name: 'after the cutoff',
     created: wall + 1_001,
-    bounds: taken,
+    bounds: afterTakeover,
     at: wall + 1_001,
     expected: 'run',
   },
-  // The old home's clock may have been ahead, so the cutoff is looked at before the future.
+  // The clock of the earlier home may have been ahead, so the cutoff is checked before the future
+  // limit.
   {
     name: 'future key below the cutoff',
     created: wall + 900,
-    bounds: taken,
+    bounds: afterTakeover,
     at: wall - 400,
     expected: 'created-before-takeover',
   },
   {
     name: 'opaque key after a takeover',
     created: undefined,
-    bounds: taken,
-    at: wall + day,
+    bounds: afterTakeover,
+    at: wall + retention,
     expected: 'created-before-takeover',
   },
   {
     name: 'opaque key, retention over',
     created: undefined,
-    bounds: taken,
-    at: wall + day + 1_001,
+    bounds: afterTakeover,
+    at: wall + retention + 1_001,
     expected: 'run',
   },
 ] as const;
 
-for (const { at, bounds, created, expected, name } of judgements) {
+for (const { at, bounds, created, expected, name } of decisions) {
   test(`a key that may have run elsewhere is not run again: ${name}`, () => {
-    const verdict = judgeNewKey(created, at + 10_000, bounds, at, settings);
+    const verdict = decideNewKey(created, at + 10_000, bounds, at, settings);
     assert.is(verdict.kind === 'run' ? 'run' : verdict.reason, expected);
   });
 }
 
-test('an attempt that entered before a takeover can not run a key that the old home refused', () => {
+test('an attempt received before a takeover can not run a key that the earlier home refused', () => {
   const created = wall + 2_000;
   const entered = (receivedAt: number): string =>
-    judgeNewKey(created, receivedAt, taken, wall + 2_000, settings).kind;
-  assert.is(entered(wall + settings.skewMilliseconds), 'refuse');
-  assert.is(entered(wall + settings.skewMilliseconds + 1), 'run');
+    decideNewKey(created, receivedAt, afterTakeover, wall + 2_000, settings).kind;
+  assert.is(entered(wall + settings.maximumClockSkewMilliseconds), 'refuse');
+  assert.is(entered(wall + settings.maximumClockSkewMilliseconds + 1), 'run');
 });
 
-test('an attempt that may have entered before the refusal of its key is void', () => {
-  assert.ok(isVoid(wall + settings.skewMilliseconds, wall, settings));
-  assert.not.ok(isVoid(wall + settings.skewMilliseconds + 1, wall, settings));
+test('an attempt that may have been received before the refusal of its key is void', () => {
+  assert.ok(isVoidAttempt(wall + settings.maximumClockSkewMilliseconds, wall, settings));
+  assert.not.ok(isVoidAttempt(wall + settings.maximumClockSkewMilliseconds + 1, wall, settings));
 });
 
 test('only UUIDv7 keys have a creation time', () => {
@@ -84,8 +115,8 @@
   }
 });
 
-test('all nodes find the same range for a key', () => {
-  // First byte of SHA-256 modulo 16: e3b0…, ba78…
+test('all nodes compute the same range for a key', () => {
+  // The first byte of the SHA-256 modulo 16. The hashes start with e3b0… and ba78….
   assert.is(rangeOfKey(''), 0x3);
   assert.is(rangeOfKey('abc'), 0xa);
 });
--- a/packages/core/tests/homes/lease.test.ts
+++ b/packages/core/tests/homes/lease.test.ts
@@ -32,8 +32,8 @@
 
 function startedWitness(storedVersion = 1): Witness {
   const witness = new Witness(settings);
-  witness.start(0);
-  witness.tableRead('issuance', storedVersion);
+  witness.recordStart(0);
+  witness.onTableRead('issuance', storedVersion);
   return witness;
 }
 
@@ -42,11 +42,11 @@
   return answer.kind === 'answer' && answer.frame.accepted;
 }
 
-test('a restarted witness may have forgotten a promise, so it waits a lease and reads the table', () => {
+test('a restarted witness has lost its promises, so it waits for one lease and reads the table', () => {
   const witness = new Witness(settings);
-  witness.start(0);
+  witness.recordStart(0);
   assert.is(witness.confirm('a', confirm(first), lease).kind, 'read-first');
-  witness.tableRead('issuance', 1);
+  witness.onTableRead('issuance', 1);
   assert.not.ok(accepts(witness, 'a', confirm(first), lease - 1));
   assert.ok(accepts(witness, 'a', confirm(first), lease));
   assert.not.ok(accepts(startedWitness(2), 'a', confirm(first), lease));
@@ -103,11 +103,12 @@
   });
 }
 
-test('a witness that accepted a newer table tells the old home and never goes back', () => {
+test('a witness that accepted a newer table sends it to the old home and accepts no older one', () => {
   const witness = startedWitness();
   assert.ok(accepts(witness, 'b', confirm(second), lease));
   const answer = witness.confirm('a', confirm(first), 5 * lease);
-  if (answer.kind !== 'answer') throw new Error('the witness has read the table');
+  if (answer.kind !== 'answer')
+    throw new Error('the witness did not answer, although it has read the table');
   assert.not.ok(answer.frame.accepted);
   assert.is(answer.frame.table?.version, 2);
 });
@@ -116,31 +117,31 @@
   return { accepted, kind: 'home-promise', sequence, service: 'issuance', version };
 }
 
-test('a lease counts from the sending of the request and needs a majority', () => {
+test('a lease starts when its request was sent and needs a majority', () => {
   const home = new Lease(settings, 0);
-  home.round(first, true, 100);
-  home.promised('w1', promise(1, 1));
+  home.startRoundIfDue(first, true, 100);
+  home.onPromise('w1', promise(1, 1));
   assert.is(home.validUntil(first), Number.NEGATIVE_INFINITY);
-  home.promised('w2', promise(1, 1, false));
-  home.promised('w2', promise(7, 1));
-  home.promised('w2', promise(1, 2));
+  home.onPromise('w2', promise(1, 1, false));
+  home.onPromise('w2', promise(7, 1));
+  home.onPromise('w2', promise(1, 2));
   assert.is(home.validUntil(first), Number.NEGATIVE_INFINITY);
-  home.promised('w2', promise(1, 1));
+  home.onPromise('w2', promise(1, 1));
   assert.is(home.validUntil(first), 100 + lease);
-  home.round(first, true, 100 + settings.confirmRetryMilliseconds);
-  home.promised('w1', promise(2, 1));
+  home.startRoundIfDue(first, true, 100 + settings.confirmRetryMilliseconds);
+  home.onPromise('w1', promise(2, 1));
   assert.is(home.validUntil(first), 100 + lease, 'one renewed promise is no majority');
 });
 
-test('the table is sent to a witness until it accepts it, and again after it forgot it', () => {
+test('the table is sent to a witness until it accepts it, and again after the witness lost it', () => {
   const home = new Lease(settings, 0);
   const sendsTable = (at: number): boolean[] =>
-    home.round(first, false, at).map(({ frame }) => frame.table !== undefined);
+    home.startRoundIfDue(first, false, at).map(({ frame }) => frame.table !== undefined);
   assert.equal(sendsTable(0), [true, true, true]);
-  home.promised('w1', promise(1, 1));
-  home.promised('w2', promise(1, 1));
+  home.onPromise('w1', promise(1, 1));
+  home.onPromise('w2', promise(1, 1));
   assert.equal(sendsTable(1_000), [false, false, true]);
-  home.promised('w2', promise(2, 0, false));
+  home.onPromise('w2', promise(2, 0, false));
   assert.equal(sendsTable(2_000), [false, true, true]);
 });
 
@@ -156,10 +157,10 @@
   const changing = witnessChangeTable(first, ['w3', 'w4', 'w5']);
   if (changing === undefined) throw new Error('the table is missing');
   const home = new Lease(settings, 0);
-  home.round(changing, true, 0);
-  for (const witness of ['w1', 'w2', 'w4']) home.promised(witness, promise(1, 2));
+  home.startRoundIfDue(changing, true, 0);
+  for (const witness of ['w1', 'w2', 'w4']) home.onPromise(witness, promise(1, 2));
   assert.is(home.validUntil(changing), Number.NEGATIVE_INFINITY);
-  home.promised('w5', promise(1, 2));
+  home.onPromise('w5', promise(1, 2));
   assert.is(home.validUntil(changing), lease);
 });
 
