--- a/packages/core/tests/homes/shared/home-checks.ts
+++ b/packages/core/tests/homes/shared/home-checks.ts
@@ -7,7 +7,10 @@
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${unique}`;
 }
 
-/** Returns every broken promise that the execution log and the callers' answers show. */
+/**
+ * Returns each violation of at-most-once execution found in the execution log and the callers'
+ * outcomes.
+ */
 export function violations({ attempts, executions }: HomeNetwork): string[] {
   const found: string[] = [];
   const runs = new Map<string, number>();
@@ -16,7 +19,8 @@
   for (const attempt of attempts) {
     const { digest, key, number, outcome, outcomeAt } = attempt;
     if (outcome?.kind === 'answered') {
-      if (new TextDecoder().decode(outcome.body) !== key) found.push(`${number}: foreign answer`);
+      if (new TextDecoder().decode(outcome.body) !== key)
+        found.push(`${number}: answer of another key`);
       if (!runs.has(key)) found.push(`${number}: answered without a run`);
     }
     if (outcome?.kind !== 'refused-not-run' || outcomeAt === undefined) continue;
--- a/packages/core/tests/homes/shared/home-network.ts
+++ b/packages/core/tests/homes/shared/home-network.ts
@@ -14,7 +14,7 @@
 } from '../../../src/index.js';
 import {
   defaultHomeSettings,
-  HomeKeeper,
+  HomeManager,
   nextInteger,
   SeededRandomSource,
 } from '../../../src/index.js';
@@ -25,10 +25,12 @@
 const tickMilliseconds = 20;
 const detectionMilliseconds = 4_000;
 const entryTimeoutMilliseconds = 2_500;
-/** A stopping node finishes its calls as an entry after it has handed over. */
+/** How long a stopping node continues after its hand-over, to finish its calls as an entry. */
 const exitMilliseconds = 500;
 
-/** Probabilities of faults that may happen at any moment; all 0 in a network without faults. */
+/**
+ * Probabilities of random faults, and the range in which wall clocks vary; all 0 without faults.
+ */
 export interface FaultRates {
   readonly duplicate: number;
   readonly slowFrame: number;
@@ -36,7 +38,7 @@
   readonly storeAnswerLoss: number;
   readonly gateRefusal: number;
   readonly dispatchLoss: number;
-  readonly skewMilliseconds: number;
+  readonly clockSkewMilliseconds: number;
 }
 
 export const noFaults: FaultRates = {
@@ -44,19 +46,19 @@
   dispatchLoss: 0,
   duplicate: 0,
   gateRefusal: 0,
-  skewMilliseconds: 0,
+  clockSkewMilliseconds: 0,
   slowFrame: 0,
   storeAnswerLoss: 0,
 };
 
-/** One attempt of a caller, as the check sees it. */
+/** An attempt of a caller, as recorded for the check. */
 export interface Attempt {
   readonly number: number;
   readonly key: string;
   readonly digest: string;
   readonly enteredAt: number;
   outcome?: KeyedOutcome;
-  /** When the home gave the outcome. */
+  /** Virtual time at which the home sent the outcome. */
   outcomeAt?: number;
   answeredAt?: number;
 }
@@ -68,19 +70,19 @@
   readonly at: number;
 }
 
-interface Node {
+interface SimulatedNode {
   readonly server: string;
   readonly availabilityZone: string;
-  keeper: HomeKeeper;
+  manager: HomeManager;
   incarnation: number;
   isStopping: boolean;
   wallOffset: number;
   state: 'up' | 'frozen' | 'down' | 'left';
-  /** Calls into a frozen node, in order. */
+  /** Calls into the node while it is frozen, in order. */
   backlog: (() => void)[];
-  /** Raised by every crash, so that events of an earlier life are dropped. */
-  life: number;
-  readonly view: Map<string, MemberRecord>;
+  /** Raised by every crash and restart, so that events of an earlier incarnation are dropped. */
+  generation: number;
+  readonly knownMembers: Map<string, MemberRecord>;
 }
 
 type WireFrame =
@@ -94,27 +96,29 @@
       readonly at: number;
     };
 
-interface Event {
+interface SimulationEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-/** Several home keepers in virtual time with a network, a store, upstreams and entries. */
+/**
+ * Simulates several home managers in virtual time, with a network, a store, upstreams and entries.
+ */
 export class HomeNetwork {
   public now = 0;
   public readonly attempts: Attempt[] = [];
   public readonly executions: Execution[] = [];
-  public readonly nodes = new Map<string, Node>();
+  public readonly nodes = new Map<string, SimulatedNode>();
   public readonly counters = new Map<string, number>();
-  public storeIsUp = true;
+  public isStoreUp = true;
   private stored: { value: string; version: number } | undefined;
-  private readonly events: Event[] = [];
+  private readonly events: SimulationEvent[] = [];
   private order = 0;
   private readonly random: RandomSource;
   private readonly arrivals = new Map<string, number>();
-  private readonly epochs = new Map<string, number>();
-  private readonly cut = new Set<string>();
+  private readonly connectionGenerations = new Map<string, number>();
+  private readonly partitioned = new Set<string>();
 
   public constructor(
     seed: number,
@@ -124,9 +128,9 @@
   ) {
     this.random = new SeededRandomSource(seed);
     for (let index = 0; index < servers; index += 1) this.addNode(`s${index}`, `zone-${index % 3}`);
-    if (faults.skewMilliseconds > 0)
+    if (faults.clockSkewMilliseconds > 0)
       this.every(700, () => {
-        this.jumpClock();
+        this.shiftClocks();
       });
     if (faults.connectionLoss > 0)
       this.every(100, () => {
@@ -134,82 +138,84 @@
       });
   }
 
-  /** Starts a node, or starts it again with empty memory as a new incarnation. */
+  /** Starts a node, or restarts it with empty memory as a new incarnation. */
   public addNode(server: string, availabilityZone: string): void {
-    const earlier = this.nodes.get(server);
+    const previous = this.nodes.get(server);
     const incarnation = epoch + this.now + 1;
-    const node: Node = {
+    const node: SimulatedNode = {
       availabilityZone,
       backlog: [],
       incarnation,
       isStopping: false,
-      keeper: new HomeKeeper({ incarnation, server }, this.settings),
-      life: (earlier?.life ?? 0) + 1,
+      manager: new HomeManager({ incarnation, server }, this.settings),
+      generation: (previous?.generation ?? 0) + 1,
       server,
       state: 'up',
-      view: new Map(earlier?.view ?? [...this.nodes.values()][0]?.view ?? []),
+      knownMembers: new Map(
+        previous?.knownMembers ?? [...this.nodes.values()][0]?.knownMembers ?? [],
+      ),
       wallOffset: 0,
     };
     this.nodes.set(server, node);
     for (const other of this.nodes.values()) {
-      if (other.state === 'up') node.view.set(other.server, this.member(other, 'serving'));
+      if (other.state === 'up') node.knownMembers.set(other.server, this.member(other, 'serving'));
     }
-    this.spreadMember(node, 'serving', 50);
-    this.tickLater(node, node.life);
+    this.gossipMember(node, 'serving', 50);
+    this.scheduleTick(node, node.generation);
   }
 
   public crash(server: string): void {
     const node = this.node(server);
     node.state = 'down';
-    node.life += 1;
+    node.generation += 1;
     node.backlog = [];
-    this.detect(node, node.life);
+    this.scheduleFailureDetection(node, node.generation);
   }
 
   public freeze(server: string, milliseconds: number): void {
     const node = this.node(server);
-    const { life } = node;
+    const { generation } = node;
     if (node.state !== 'up') return;
     node.state = 'frozen';
-    this.detect(node, life);
+    this.scheduleFailureDetection(node, generation);
     this.after(milliseconds, () => {
-      if (node.life !== life || node.state !== 'frozen') return;
+      if (node.generation !== generation || node.state !== 'frozen') return;
       node.state = 'up';
       for (const run of node.backlog.splice(0)) run();
       this.rejoin(node);
     });
   }
 
-  /** Lets every node take a live one for dead for a while. */
+  /** Reports a live node as dead to all nodes; it rejoins after this time. */
   public reportDead(server: string, milliseconds: number): void {
     const node = this.node(server);
-    const { life } = node;
-    this.spreadMember(node, 'dead', 0);
+    const { generation } = node;
+    this.gossipMember(node, 'dead', 0);
     this.after(milliseconds, () => {
-      if (node.life === life && node.state === 'up') this.rejoin(node);
+      if (node.generation === generation && node.state === 'up') this.rejoin(node);
     });
   }
 
   /** Cuts a node off from the other nodes, but not from the store. */
   public cutOff(server: string, milliseconds: number): void {
     const node = this.node(server);
-    const { life } = node;
-    if (node.state !== 'up' || this.cut.has(server)) return;
-    this.cut.add(server);
-    this.detect(node, life);
+    const { generation } = node;
+    if (node.state !== 'up' || this.partitioned.has(server)) return;
+    this.partitioned.add(server);
+    this.scheduleFailureDetection(node, generation);
     this.after(milliseconds, () => {
-      this.cut.delete(server);
-      if (node.life === life && node.state === 'up') this.rejoin(node);
+      this.partitioned.delete(server);
+      if (node.generation === generation && node.state === 'up') this.rejoin(node);
     });
   }
 
-  /** Stops a node as planned; it leaves when it has handed over. */
+  /** Starts the planned stop of a node, which leaves after its hand-over. */
   public stop(server: string): void {
     const node = this.node(server);
     if (node.state !== 'up') return;
     node.isStopping = true;
-    this.spreadMember(node, 'draining', 50);
-    this.call(node, () => node.keeper.handOver(this.clock(node)));
+    this.gossipMember(node, 'draining', 50);
+    this.callInto(node, () => node.manager.startHandOver(this.clock(node)));
   }
 
   /** Sends an attempt of a caller through an entry. */
@@ -236,11 +242,11 @@
       receivedAt: this.clock(node).wall,
       remainingMilliseconds: entryTimeoutMilliseconds,
     };
-    this.forward(node, frame, node.keeper.table(service) ?? this.anyTable(), 0);
+    this.forward(node, frame, node.manager.table(service) ?? this.randomTable(), 0);
     return attempt;
   }
 
-  /** Lets virtual time pass. */
+  /** Advances virtual time and runs the events that become due. */
   public runFor(milliseconds: number): void {
     const end = this.now + milliseconds;
     for (let next = this.events[0]; next !== undefined && next.at <= end; next = this.events[0]) {
@@ -273,44 +279,48 @@
       .map((node) => node.server);
   }
 
-  private node(server: string): Node {
+  private node(server: string): SimulatedNode {
     const node = this.nodes.get(server);
     if (node === undefined) throw new Error(`no node ${server}`);
     return node;
   }
 
-  private clock(node: Node): { monotonic: number; wall: number } {
+  private clock(node: SimulatedNode): { monotonic: number; wall: number } {
     return { monotonic: this.now, wall: epoch + this.now + node.wallOffset };
   }
 
-  private jumpClock(): void {
+  private shiftClocks(): void {
     for (const node of this.nodes.values()) {
-      node.wallOffset = Math.round((this.random.next() - 0.5) * this.faults.skewMilliseconds);
+      node.wallOffset = Math.round((this.random.next() - 0.5) * this.faults.clockSkewMilliseconds);
     }
   }
 
-  private tickLater(node: Node, life: number): void {
+  private scheduleTick(node: SimulatedNode, generation: number): void {
     this.after(tickMilliseconds, () => {
-      if (node.life !== life || node.state === 'left' || this.nodes.get(node.server) !== node)
+      if (
+        node.generation !== generation ||
+        node.state === 'left' ||
+        this.nodes.get(node.server) !== node
+      )
         return;
-      if (node.state === 'up') this.call(node, () => node.keeper.tick(this.clock(node)));
-      this.tickLater(node, life);
+      if (node.state === 'up') this.callInto(node, () => node.manager.tick(this.clock(node)));
+      this.scheduleTick(node, generation);
     });
   }
 
-  /** Calls into a node now, or when it is no longer frozen. */
-  private call(node: Node, call: () => readonly HomeCommand[]): void {
+  /** Calls into a node, if it is frozen as soon as it no longer is. */
+  private callInto(node: SimulatedNode, call: () => readonly HomeCommand[]): void {
     if (node.state === 'frozen') {
       node.backlog.push(() => {
-        this.call(node, call);
+        this.callInto(node, call);
       });
       return;
     }
     if (node.state !== 'up') return;
-    for (const command of call()) this.carryOut(node, command);
+    for (const command of call()) this.execute(node, command);
   }
 
-  private carryOut(node: Node, command: HomeCommand): void {
+  private execute(node: SimulatedNode, command: HomeCommand): void {
     switch (command.kind) {
       case 'send':
         this.transmit(node, command.to, command.frame);
@@ -324,7 +334,7 @@
         });
         break;
       case 'run-keyed':
-        this.execute(node, command.dispatchId, Number(command.head.requestId));
+        this.runDispatch(node, command.dispatchId, Number(command.head.requestId));
         break;
       case 'store':
         this.storeOperation(node, command.operationId, command.operation);
@@ -332,7 +342,7 @@
       case 'handed-over':
         this.after(exitMilliseconds, () => {
           node.state = 'left';
-          this.spreadMember(node, 'left', 50);
+          this.gossipMember(node, 'left', 50);
         });
         break;
       case 'count': {
@@ -345,33 +355,39 @@
     }
   }
 
-  /** Frames between two nodes keep their order; a lost connection loses all that are on their way. */
-  private transmit(from: Node, to: string, frame: WireFrame): void {
+  /**
+   * Frames between two nodes are delivered in order. A lost connection loses all frames in flight.
+   */
+  private transmit(from: SimulatedNode, to: string, frame: WireFrame): void {
     if (this.isCut(from.server, to)) return;
     const pair = `${from.server}>${to}`;
-    const connection = this.epochs.get(pair) ?? 0;
-    const slow = this.happens(this.faults.slowFrame) ? nextInteger(this.random, 4_000) : 0;
+    const connection = this.connectionGenerations.get(pair) ?? 0;
+    const slow = this.occurs(this.faults.slowFrame) ? nextInteger(this.random, 4_000) : 0;
     const delay = to === from.server ? 0 : 1 + nextInteger(this.random, 3) + slow;
     const at = Math.max(this.arrivals.get(pair) ?? 0, this.now + delay);
     this.arrivals.set(pair, at);
-    const copies = this.happens(this.faults.duplicate) ? 2 : 1;
+    const copies = this.occurs(this.faults.duplicate) ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       this.after(at - this.now, () => {
         const node = this.node(to);
-        if ((this.epochs.get(pair) ?? 0) !== connection || this.isCut(from.server, to)) return;
+        if (
+          (this.connectionGenerations.get(pair) ?? 0) !== connection ||
+          this.isCut(from.server, to)
+        )
+          return;
         this.receive(node, from.server, frame);
       });
     }
   }
 
-  private receive(node: Node, from: string, frame: WireFrame): void {
+  private receive(node: SimulatedNode, from: string, frame: WireFrame): void {
     switch (frame.kind) {
       case 'keyed-request':
-        this.call(node, () => node.keeper.request(from, frame, this.clock(node)));
+        this.callInto(node, () => node.manager.onRequest(from, frame, this.clock(node)));
         break;
       case 'outcome':
-        this.call(node, () => {
-          this.conclude(node, frame.attempt, frame.outcome, frame.at);
+        this.callInto(node, () => {
+          this.onOutcome(node, frame.attempt, frame.outcome, frame.at);
           return [];
         });
         break;
@@ -385,33 +401,33 @@
       case 'home-table-request':
       case 'records-received':
       case 'records-transfer':
-        this.call(node, () => node.keeper.frame(from, frame, this.clock(node)));
+        this.callInto(node, () => node.manager.onFrame(from, frame, this.clock(node)));
     }
   }
 
-  private readonly frames = new Map<number, { frame: KeyedRequestFrame; tries: number }>();
+  private readonly sentFrames = new Map<number, { frame: KeyedRequestFrame; tries: number }>();
 
   private forward(
-    node: Node,
+    node: SimulatedNode,
     frame: KeyedRequestFrame,
     table: HomeTable | undefined,
     tries: number,
   ): void {
-    const home = table?.ranges[node.keeper.rangeOf(frame.key)]?.server ?? this.anyServer();
-    this.frames.set(frame.callId, { frame, tries });
+    const home = table?.ranges[node.manager.rangeOf(frame.key)]?.server ?? this.randomServer();
+    this.sentFrames.set(frame.callId, { frame, tries });
     this.transmit(node, home, frame);
   }
 
-  private conclude(node: Node, number: number, outcome: KeyedOutcome, at: number): void {
+  private onOutcome(node: SimulatedNode, number: number, outcome: KeyedOutcome, at: number): void {
     const attempt = this.attempts[number];
-    const sent = this.frames.get(number);
+    const sent = this.sentFrames.get(number);
     if (attempt === undefined || sent === undefined || attempt.outcome !== undefined) return;
     if (this.now - attempt.enteredAt > entryTimeoutMilliseconds) return;
     if (outcome.kind === 'not-home') {
       if (sent.tries >= 4) return;
       const { frame, tries } = sent;
       this.after(20, () => {
-        this.forward(node, frame, outcome.table ?? this.anyTable(), tries + 1);
+        this.forward(node, frame, outcome.table ?? this.randomTable(), tries + 1);
       });
       return;
     }
@@ -420,29 +436,37 @@
     attempt.answeredAt = this.now;
   }
 
-  /** Runs a dispatch at some gate: refused, run and answered, or run with the connection lost. */
-  private execute(node: Node, dispatchId: number, number: number): void {
+  /**
+   * Simulates a dispatch: a gate refuses it, runs and answers it, or runs it but the connection is
+   * lost.
+   */
+  private runDispatch(node: SimulatedNode, dispatchId: number, number: number): void {
     const attempt = this.attempts[number];
     if (attempt === undefined) throw new Error(`no attempt ${number}`);
     const { digest, key } = attempt;
-    const { life } = node;
-    const finish = (outcome: Parameters<HomeKeeper['concluded']>[1], body?: string): void => {
-      if (node.life !== life || this.nodes.get(node.server) !== node) return;
+    const { generation } = node;
+    const finish = (
+      outcome: Parameters<HomeManager['onAttemptConcluded']>[1],
+      body?: string,
+    ): void => {
+      if (node.generation !== generation || this.nodes.get(node.server) !== node) return;
       const answer =
         body === undefined
           ? undefined
           : { body: new TextEncoder().encode(body), headers: {}, status: 201 };
-      this.call(node, () => node.keeper.concluded(dispatchId, outcome, answer, this.clock(node)));
+      this.callInto(node, () =>
+        node.manager.onAttemptConcluded(dispatchId, outcome, answer, this.clock(node)),
+      );
     };
     const delay = 1 + nextInteger(this.random, 20);
-    if (this.happens(this.faults.gateRefusal)) {
+    if (this.occurs(this.faults.gateRefusal)) {
       this.after(delay, () => {
         finish({ kind: 'refused-not-run', reason: 'no-slot' });
       });
       return;
     }
-    const isLost = this.happens(this.faults.dispatchLoss);
-    const isSlow = this.happens(this.faults.slowFrame);
+    const isLost = this.occurs(this.faults.dispatchLoss);
+    const isSlow = this.occurs(this.faults.slowFrame);
     const runsAt = isLost || isSlow ? nextInteger(this.random, 4_000) : delay;
     this.after(runsAt, () => {
       this.executions.push({ at: this.now, attempt: number, digest, key });
@@ -458,18 +482,24 @@
     }
   }
 
-  private storeOperation(node: Node, operationId: number, operation: StoreOperation): void {
-    const { life } = node;
+  private storeOperation(
+    node: SimulatedNode,
+    operationId: number,
+    operation: StoreOperation,
+  ): void {
+    const { generation } = node;
     const answer = (result: StoreResult): void => {
       this.after(2, () => {
-        if (node.life !== life) return;
-        this.call(node, () => node.keeper.storeResult(operationId, result, this.clock(node)));
+        if (node.generation !== generation) return;
+        this.callInto(node, () =>
+          node.manager.onStoreResult(operationId, result, this.clock(node)),
+        );
       });
     };
-    const isLost = this.happens(this.faults.storeAnswerLoss);
-    const isLate = isLost && this.happens(0.5);
-    if (isLate || !this.storeIsUp) answer({ kind: 'unknown' });
-    if (!this.storeIsUp) return;
+    const isLost = this.occurs(this.faults.storeAnswerLoss);
+    const isLate = isLost && this.occurs(0.5);
+    if (isLate || !this.isStoreUp) answer({ kind: 'unknown' });
+    if (!this.isStoreUp) return;
     this.after(2 + (isLate ? nextInteger(this.random, 3_000) : 0), () => {
       const result = this.applyToStore(operation);
       if (!isLate) answer(isLost ? { kind: 'unknown' } : result);
@@ -486,7 +516,7 @@
     return { kind: 'written', version: this.stored.version };
   }
 
-  private member(node: Node, state: MemberState): MemberRecord {
+  private member(node: SimulatedNode, state: MemberState): MemberRecord {
     const { availabilityZone, incarnation, server } = node;
     return {
       availabilityZone,
@@ -500,62 +530,66 @@
     };
   }
 
-  /** Tells every node of a member's state, each after a delay of its own. */
-  private spreadMember(node: Node, state: MemberState, delay: number): void {
+  /** Propagates the state of a member to every node, to each after its own random delay. */
+  private gossipMember(node: SimulatedNode, state: MemberState, delay: number): void {
     const record = this.member(node, state);
     for (const observer of this.nodes.values()) {
       this.after(delay + nextInteger(this.random, 200), () => {
-        this.learn(observer, record);
+        this.observe(observer, record);
       });
     }
   }
 
-  private learn(observer: Node, record: MemberRecord): void {
-    const known = observer.view.get(record.server);
+  private observe(observer: SimulatedNode, record: MemberRecord): void {
+    const known = observer.knownMembers.get(record.server);
     if (known !== undefined && known.incarnation > record.incarnation) return;
-    observer.view.set(record.server, record);
-    this.call(observer, () =>
-      observer.keeper.members([...observer.view.values()], new Set(), this.clock(observer)),
+    observer.knownMembers.set(record.server, record);
+    this.callInto(observer, () =>
+      observer.manager.onMembersChanged(
+        [...observer.knownMembers.values()],
+        new Set(),
+        this.clock(observer),
+      ),
     );
   }
 
-  private detect(node: Node, life: number): void {
+  private scheduleFailureDetection(node: SimulatedNode, generation: number): void {
     this.after(detectionMilliseconds, () => {
-      const isBack = node.state === 'up' && !this.cut.has(node.server);
-      if (node.life !== life || isBack || node.state === 'left') return;
+      const isBack = node.state === 'up' && !this.partitioned.has(node.server);
+      if (node.generation !== generation || isBack || node.state === 'left') return;
       if (this.nodes.get(node.server) !== node) return;
-      this.spreadMember(node, 'dead', 0);
+      this.gossipMember(node, 'dead', 0);
     });
   }
 
-  /** A node that was taken for dead raises its incarnation and is a member again. */
-  private rejoin(node: Node): void {
+  /** Lets a node that was reported dead raise its incarnation and become a member again. */
+  private rejoin(node: SimulatedNode): void {
     node.incarnation += 1;
-    this.spreadMember(node, 'serving', 50);
+    this.gossipMember(node, 'serving', 50);
   }
 
   private loseConnection(): void {
-    if (!this.happens(this.faults.connectionLoss)) return;
-    const pair = `${this.anyServer()}>${this.anyServer()}`;
-    this.epochs.set(pair, (this.epochs.get(pair) ?? 0) + 1);
+    if (!this.occurs(this.faults.connectionLoss)) return;
+    const pair = `${this.randomServer()}>${this.randomServer()}`;
+    this.connectionGenerations.set(pair, (this.connectionGenerations.get(pair) ?? 0) + 1);
     this.arrivals.delete(pair);
   }
 
   private isCut(from: string, to: string): boolean {
-    return from !== to && (this.cut.has(from) || this.cut.has(to));
+    return from !== to && (this.partitioned.has(from) || this.partitioned.has(to));
   }
 
-  private happens(probability: number): boolean {
+  private occurs(probability: number): boolean {
     return probability > 0 && this.random.next() < probability;
   }
 
-  private anyServer(): string {
+  private randomServer(): string {
     const servers = [...this.nodes.keys()];
     return servers[nextInteger(this.random, servers.length)] ?? '';
   }
 
-  private anyTable(): HomeTable | undefined {
-    return this.nodes.get(this.anyServer())?.keeper.table(service);
+  private randomTable(): HomeTable | undefined {
+    return this.nodes.get(this.randomServer())?.manager.table(service);
   }
 
   private pop(): void {
@@ -566,19 +600,19 @@
   }
 }
 
-function isBefore(a: Event | undefined, b: Event | undefined): boolean {
+function isBefore(a: SimulationEvent | undefined, b: SimulationEvent | undefined): boolean {
   if (a === undefined || b === undefined) return a !== undefined;
   return a.at < b.at || (a.at === b.at && a.order < b.order);
 }
 
-function swap(heap: Event[], a: number, b: number): void {
+function swap(heap: SimulationEvent[], a: number, b: number): void {
   const [first, second] = [heap[a], heap[b]];
   if (first === undefined || second === undefined) return;
   heap[a] = second;
   heap[b] = first;
 }
 
-function push(heap: Event[], event: Event): void {
+function push(heap: SimulationEvent[], event: SimulationEvent): void {
   heap.push(event);
   for (let child = heap.length - 1; child > 0;) {
     const parent = (child - 1) >> 1;
@@ -588,7 +622,7 @@
   }
 }
 
-function siftDown(heap: Event[]): void {
+function siftDown(heap: SimulationEvent[]): void {
   for (let parent = 0; ;) {
     const left = 2 * parent + 1;
     const smaller = isBefore(heap[left + 1], heap[left]) ? left + 1 : left;
--- a/packages/core/tests/membership/member-table.test.ts
+++ b/packages/core/tests/membership/member-table.test.ts
@@ -22,8 +22,12 @@
   };
 }
 
-/** Known record, offered record and whether the offer is taken. */
-const orderTable: readonly (readonly [Partial<MemberRecord>, Partial<MemberRecord>, boolean])[] = [
+/** Known record, received record and whether the received one supersedes the known one. */
+const precedenceCases: readonly (readonly [
+  Partial<MemberRecord>,
+  Partial<MemberRecord>,
+  boolean,
+])[] = [
   [{}, {}, false],
   [{}, { incarnation: 6 }, true],
   [{ incarnation: 6 }, { state: 'dead' }, false],
@@ -36,11 +40,11 @@
   [{ state: 'dead' }, { incarnation: 6, state: 'serving' }, true],
 ];
 
-for (const [known, offered, isTaken] of orderTable) {
-  test(`${JSON.stringify(offered)} after ${JSON.stringify(known)}: the same record wins on every node`, () => {
+for (const [known, received, isApplied] of precedenceCases) {
+  test(`${JSON.stringify(received)} after ${JSON.stringify(known)}: whether it is applied depends only on the two records`, () => {
     const table = new MemberTable();
     table.apply(record('a', known), now);
-    assert.is(table.apply(record('a', offered), now) !== undefined, isTaken);
+    assert.is(table.apply(record('a', received), now) !== undefined, isApplied);
   });
 }
 
@@ -54,11 +58,11 @@
   { maxLength: 40 },
 );
 
-test('digests kept by each change equal those of a table built from the result', () => {
+test('digests updated incrementally equal those of a table built from the resulting records', () => {
   fc.assert(
-    fc.property(changes, (offers) => {
+    fc.property(changes, (records) => {
       const table = new MemberTable();
-      for (const { server, ...change } of offers) table.apply(record(server, change), now);
+      for (const { server, ...change } of records) table.apply(record(server, change), now);
       const rebuilt = new MemberTable();
       for (const known of table.records()) rebuilt.apply(known, now);
       for (const [name, zone] of table.zones) {
@@ -74,20 +78,20 @@
   );
 });
 
-test('an ended member is remembered for two hours, so that stale records do not revive it', () => {
+test('a departed member is kept for two hours, so that stale records do not revive it', () => {
   const table = new MemberTable();
   table.apply(record('a', { state: 'dead' }), now);
-  table.forgetEnded({ ...now, monotonic: 7_199_999 });
+  table.removeExpiredDeparted({ ...now, monotonic: 7_199_999 });
   assert.is(table.apply(record('a'), now), undefined);
-  table.forgetEnded({ ...now, monotonic: 7_200_000 });
+  table.removeExpiredDeparted({ ...now, monotonic: 7_200_000 });
   assert.is(table.get('a'), undefined);
 });
 
-test('a frame carries at most 10 updates and each update goes out a bounded number of times', () => {
+test('a frame carries at most 10 updates, and each update is sent a bounded number of times', () => {
   const queue = new UpdateQueue();
   for (let index = 0; index < 25; index += 1) queue.add(record(`server-${index}`), 30);
   const sends = new Map<string, number>();
-  for (let updates = queue.take(); updates.length > 0; updates = queue.take()) {
+  for (let updates = queue.takeForFrame(); updates.length > 0; updates = queue.takeForFrame()) {
     assert.ok(updates.length <= maximumUpdatesPerFrame);
     for (const { server } of updates) sends.set(server, (sends.get(server) ?? 0) + 1);
   }
--- a/packages/core/tests/node/single-node.ts
+++ b/packages/core/tests/node/single-node.ts
@@ -8,23 +8,23 @@
   RunUpstreamCommand,
 } from '../../src/index.js';
 
-const startWall = 1_800_000_000_000;
+const startWallTimeMilliseconds = 1_800_000_000_000;
 export const tickMilliseconds = 10;
 
-/** One node with its own clock and a store in memory, driven by hand. */
+/** A single node with a simulated clock and an in-memory store, driven step by step. */
 export class SingleNode {
   public readonly commands: CoreCommand[] = [];
   public monotonic = 0;
-  /** Leaves out the ticks that the core does not ask for, as the daemon does. */
-  public ticksOnDemand = false;
-  public ticks = 0;
-  public observe: (command: CoreCommand) => void = () => undefined;
+  /** Delivers only the ticks requested by `nextTickAt`, as the daemon does. */
+  public isTickingOnDemand = false;
+  public tickCount = 0;
+  public onCommand: (command: CoreCommand) => void = () => undefined;
 
   private readonly core: NodeCore;
   private readonly store = new Map<string, { value: string; version: number }>();
   private nextRequestNumber = 1;
 
-  public constructor(incarnation = startWall) {
+  public constructor(incarnation = startWallTimeMilliseconds) {
     this.core = createNodeCore({
       identity: {
         availabilityZone: 'zone-a',
@@ -38,31 +38,34 @@
   }
 
   public get now(): ClockReading {
-    return { monotonic: this.monotonic, wall: startWall + this.monotonic };
+    return { monotonic: this.monotonic, wall: startWallTimeMilliseconds + this.monotonic };
   }
 
-  public send(message: CoreMessage): void {
+  public deliver(message: CoreMessage): void {
     for (const command of this.core.handle(message, this.now)) {
       this.commands.push(command);
-      this.observe(command);
+      this.onCommand(command);
       if (command.kind === 'store') {
-        this.runStore(command);
+        this.handleStoreCommand(command);
       }
     }
   }
 
-  public run(milliseconds: number): void {
+  public advance(milliseconds: number): void {
     const end = this.monotonic + milliseconds;
     while (this.monotonic < end) {
       this.monotonic += tickMilliseconds;
-      if (this.ticksOnDemand && this.monotonic < this.core.nextTickAt) continue;
-      this.ticks += 1;
-      this.send({ kind: 'tick' });
+      if (this.isTickingOnDemand && this.monotonic < this.core.nextTickAt) continue;
+      this.tickCount += 1;
+      this.deliver({ kind: 'tick' });
     }
   }
 
-  /** Declares the service `antrag`, announces an upstream and waits until keyed requests are taken. */
-  public serve(slots: number): void {
+  /**
+   * Declares the service `antrag`, announces an upstream and waits until keyed requests are
+   * accepted.
+   */
+  public startServing(slots: number): void {
     const classes: Readonly<Record<string, RequestClass>> = {
       GET: 'idempotent',
       POST: 'non-idempotent',
@@ -85,22 +88,22 @@
         },
       },
     };
-    this.run(2_000);
+    this.advance(2_000);
     const proposal = { baseRevision: 0, changeId: 'change-1', configuration, proposalId: 1 };
-    this.send({ ...proposal, kind: 'propose-configuration' });
+    this.deliver({ ...proposal, kind: 'propose-configuration' });
     const announcement = { address: '127.0.0.1:2', connections: 10, service: 'antrag', slots };
-    this.send({ announcement, kind: 'upstream-announced' });
-    this.run(15_000);
+    this.deliver({ announcement, kind: 'upstream-announced' });
+    this.advance(15_000);
   }
 
   /** Sends a caller's request and returns its number. */
-  public request(
+  public sendRequest(
     requestClass: RequestClass,
     options: { readonly key?: string; readonly deadlineMilliseconds?: number } = {},
   ): number {
     const requestNumber = this.nextRequestNumber;
     this.nextRequestNumber += 1;
-    this.send({
+    this.deliver({
       body: new Uint8Array([1]),
       deadlineMilliseconds: options.deadlineMilliseconds ?? 2_000,
       digest: 'digest',
@@ -122,14 +125,14 @@
     return requestNumber;
   }
 
-  public answer(executionId: number, status = 200, streamedBody = false): void {
+  public respond(executionId: number, status = 200, streamedBody = false): void {
     const body = streamedBody ? undefined : new Uint8Array([7]);
     const result = { body, headers: {}, kind: 'answered', status, streamedBody } as const;
-    this.send({ executionId, kind: 'upstream-result', result });
-    this.send({ complete: true, executionId, kind: 'upstream-finished' });
+    this.deliver({ executionId, kind: 'upstream-result', result });
+    this.deliver({ complete: true, executionId, kind: 'upstream-finished' });
   }
 
-  public of<Kind extends CoreCommand['kind']>(
+  public commandsOfKind<Kind extends CoreCommand['kind']>(
     kind: Kind,
   ): Extract<CoreCommand, { readonly kind: Kind }>[] {
     return this.commands.filter(
@@ -138,12 +141,12 @@
   }
 
   public get executions(): readonly RunUpstreamCommand[] {
-    return this.of('run-upstream');
+    return this.commandsOfKind('run-upstream');
   }
 
-  /** The outcome of a request, in words. */
+  /** Returns the outcome of a request as text: its kind with the status or reason. */
   public outcomeOf(requestNumber: number): string | undefined {
-    const reply = this.of('reply-to-caller').find(
+    const reply = this.commandsOfKind('reply-to-caller').find(
       (command) => command.requestNumber === requestNumber,
     );
     if (reply === undefined) {
@@ -155,7 +158,7 @@
       : `${outcome.kind} ${outcome.reason}`;
   }
 
-  private runStore(command: Extract<CoreCommand, { readonly kind: 'store' }>): void {
+  private handleStoreCommand(command: Extract<CoreCommand, { readonly kind: 'store' }>): void {
     const { client, operation, operationId } = command;
     const found = this.store.get(operation.key);
     const entry = found && { key: operation.key, ...found };
@@ -165,17 +168,17 @@
     if (operation.kind === 'read') {
       const result =
         entry === undefined ? { kind: 'missing' as const } : { entry, kind: 'found' as const };
-      this.send({ client, kind: 'store-result', operationId, result });
+      this.deliver({ client, kind: 'store-result', operationId, result });
       return;
     }
     if ((found?.version ?? 0) !== operation.expectedVersion) {
       const result = { entry, kind: 'conflict' } as const;
-      this.send({ client, kind: 'store-result', operationId, result });
+      this.deliver({ client, kind: 'store-result', operationId, result });
       return;
     }
     const version = operation.expectedVersion + 1;
     this.store.set(operation.key, { value: operation.value, version });
     const result = { kind: 'written', version } as const;
-    this.send({ client, kind: 'store-result', operationId, result });
+    this.deliver({ client, kind: 'store-result', operationId, result });
   }
 }
--- a/packages/core/tests/node/unknown-sender.test.ts
+++ b/packages/core/tests/node/unknown-sender.test.ts
@@ -17,7 +17,7 @@
 const call = { callId: 7, head, remainingMilliseconds: 1_000 };
 const body = new Uint8Array();
 
-const questions: readonly (readonly [CoreFrame, CoreFrame['kind']])[] = [
+const exchanges: readonly (readonly [CoreFrame, CoreFrame['kind']])[] = [
   [
     { ...call, kind: 'request-start', requestClass: 'idempotent', streamedBody: false },
     'request-refused',
@@ -31,10 +31,10 @@
   [{ kind: 'load-probe', service: 'issuance' }, 'load-report'],
 ];
 
-// Guards against answers that are dropped because the node has not heard of the sender yet: the
-// entry then waits until the deadline for a request that was run.
-for (const [frame, answer] of questions) {
-  test(`${frame.kind} of a server that is not a known member is answered on its connection`, () => {
+// Guards against replies that are dropped because the sender is not yet in the node's member table:
+// the entry would then wait until the deadline for a request that was run.
+for (const [frame, answer] of exchanges) {
+  test(`a ${frame.kind} frame from an unknown server is answered on the connection it came from`, () => {
     const core = createNodeCore({
       identity: {
         availabilityZone: 'z',
--- a/packages/core/tests/probing/poll-scheduler.test.ts
+++ b/packages/core/tests/probing/poll-scheduler.test.ts
@@ -11,49 +11,49 @@
 function pollTimes(scheduler: PollScheduler, from: number, until: number): number[] {
   const times: number[] = [];
   for (let time = from; time < until; time += 10) {
-    if (!scheduler.due(at(time))) continue;
+    if (!scheduler.tryStartPoll(at(time))) continue;
     times.push(time);
-    scheduler.polled();
+    scheduler.onPollFinished();
   }
   return times;
 }
 
-test('a share of 0.01 pays for two requests of 6 ms every 1.2 s and not for more', () => {
+test('a share of 0.01 allows two requests of 6 ms every 1.2 s and no more', () => {
   const scheduler = new PollScheduler();
-  scheduler.announce(10, at(0));
+  scheduler.setSlots(10, at(0));
   assert.equal(pollTimes(scheduler, 0, 5_000), [1_200, 2_400, 3_600, 4_800]);
   const budget = scheduler.budget(at(5_000));
   assert.equal(budget.spentSlotMilliseconds, 480);
   assert.ok(Math.abs(budget.allowedSlotMilliseconds - 500) < 1e-6);
 });
 
-test('a large share does not poll more often than the shortest interval', () => {
+test('with a large share, polls are no more frequent than the minimum interval', () => {
   const scheduler = new PollScheduler();
   scheduler.configure(0.1, at(0));
-  scheduler.announce(10, at(0));
+  scheduler.setSlots(10, at(0));
   assert.equal(pollTimes(scheduler, 0, 3_500), [120, 1_120, 2_120, 3_120]);
 });
 
-test('a share of 0 and an absent upstream are never polled', () => {
+test('there are no polls with a share of 0 or without an upstream', () => {
   const scheduler = new PollScheduler();
   assert.equal(pollTimes(scheduler, 0, 10_000), []);
   scheduler.configure(0, at(10_000));
-  scheduler.announce(10, at(10_000));
+  scheduler.setSlots(10, at(10_000));
   assert.equal(pollTimes(scheduler, 10_000, 20_000), []);
 });
 
-test('an idle hour buys no burst of polls', () => {
+test('an hour without polls does not allow a burst of polls', () => {
   const scheduler = new PollScheduler({ ...defaultPollSettings, minimumIntervalMilliseconds: 0 });
-  scheduler.announce(10, at(0));
+  scheduler.setSlots(10, at(0));
   assert.equal(pollTimes(scheduler, 3_600_000, 3_602_000), [3_600_000, 3_601_200]);
 });
 
-test('a poll that hangs holds the next one back, but not for ever', () => {
+test('a poll that hangs delays the next one by at most 10 s', () => {
   const scheduler = new PollScheduler();
-  scheduler.announce(10, at(0));
-  assert.ok(scheduler.due(at(2_000)));
-  assert.not(scheduler.due(at(11_990)));
-  assert.ok(scheduler.due(at(12_000)));
+  scheduler.setSlots(10, at(0));
+  assert.ok(scheduler.tryStartPoll(at(2_000)));
+  assert.not(scheduler.tryStartPoll(at(11_990)));
+  assert.ok(scheduler.tryStartPoll(at(12_000)));
 });
 
 const change = fc.oneof(
@@ -62,7 +62,7 @@
   fc.record({ kind: fc.constant('slots' as const), value: fc.constantFrom(0, 1, 6, 10, 250) }),
 );
 
-test('what was spent never exceeds what the share of the slot-time allowed, in any history', () => {
+test('the slot time spent never exceeds the allowed share, for any sequence of changes', () => {
   fc.assert(
     fc.property(fc.array(change, { maxLength: 80 }), (changes) => {
       const scheduler = new PollScheduler({
@@ -76,14 +76,14 @@
       let spent = 0;
       for (const { kind, value } of changes) {
         if (kind === 'share') scheduler.configure((share = value), at(time));
-        if (kind === 'slots') scheduler.announce((slots = value), at(time));
+        if (kind === 'slots') scheduler.setSlots((slots = value), at(time));
         if (kind === 'wait') {
           time += value;
           allowed += value * share * slots;
         }
         for (let repeat = 0; repeat < 3; repeat += 1) {
-          if (scheduler.due(at(time))) spent += 6 * 2 * slots;
-          scheduler.polled();
+          if (scheduler.tryStartPoll(at(time))) spent += 6 * 2 * slots;
+          scheduler.onPollFinished();
         }
         assert.ok(spent <= allowed + 1e-6, `spent ${spent} of ${allowed}`);
         assert.is(scheduler.budget(at(time)).spentSlotMilliseconds, spent);
--- a/packages/core/tests/routing/router.test.ts
+++ b/packages/core/tests/routing/router.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { AttemptEnd, SeededRandomSource } from '../../src/index.js';
+import { AttemptOutcome, SeededRandomSource } from '../../src/index.js';
 import type { LoadReport, RouterContract, Target } from '../../src/index.js';
-import { at, load, none, routerWith, shares, target } from './setup.js';
+import { at, load, noExclusions, routerWith, countChoices, target } from './setup.js';
 
 interface PreferenceCase {
   readonly failure: string;
@@ -69,150 +69,158 @@
     const router = routerWith(targets);
     for (const [server, report] of Object.entries(reports)) {
       for (let answer = 0; answer < 30; answer += 1) {
-        router.concluded(server, AttemptEnd.Answered, 20, at(1));
+        router.onAttemptEnded(server, AttemptOutcome.Answered, 20, at(1));
       }
-      router.reported(server, report, at(1));
+      router.onLoadReport(server, report, at(1));
     }
-    assert.equal([...shares(router, 2, 50).keys()], [chosen]);
+    assert.equal([...countChoices(router, 2, 50).keys()], [chosen]);
   });
 }
 
-test('requests sent since the report count, so that a burst is spread before the next report', () => {
+test('requests sent since the last report count as load, so that a burst is distributed evenly', () => {
   const router = routerWith(['one', 'two', 'three'].map((server) => target(server)));
-  router.reported('one', load(0), at(1));
-  router.reported('two', load(2), at(1));
-  router.reported('three', load(4), at(1));
+  router.onLoadReport('one', load(0), at(1));
+  router.onLoadReport('two', load(2), at(1));
+  router.onLoadReport('three', load(4), at(1));
   for (let call = 0; call < 24; call += 1) {
-    const server = router.choose('lookup', none, at(1))?.server ?? '';
-    router.sent(server, at(1));
+    const server = router.choose('lookup', noExclusions, at(1))?.server ?? '';
+    router.onSent(server, at(1));
   }
-  // 24 requests on loads of 0, 2 and 4 are even at 10 each.
+  // Loads of 0, 2 and 4 plus 24 requests are evenly distributed at 10 each, which is the limit.
   for (const server of ['one', 'two', 'three']) {
     assert.is(router.chooseServer('lookup', server, at(1)), undefined);
   }
 });
 
-function conclude(router: RouterContract, server: string, end: AttemptEnd, count: number): void {
+function endAttempts(
+  router: RouterContract,
+  server: string,
+  end: AttemptOutcome,
+  count: number,
+): void {
   for (let call = 0; call < count; call += 1) {
-    router.concluded(server, end, end === AttemptEnd.Failed ? 1 : 20, at(10));
+    router.onAttemptEnded(server, end, end === AttemptOutcome.Failed ? 1 : 20, at(10));
   }
 }
 
-interface ShunCase {
+interface EjectionCase {
   readonly failure: string;
-  readonly spoil: (router: RouterContract) => void;
-  readonly isShunned: boolean;
+  readonly degrade: (router: RouterContract) => void;
+  readonly isEjected: boolean;
 }
 
-const shunCases: readonly ShunCase[] = [
+const ejectionCases: readonly EjectionCase[] = [
   {
-    failure: 'a server that fails at once attracts the load',
-    isShunned: true,
-    spoil: (router) => {
-      conclude(router, 'bad', AttemptEnd.Failed, 4);
+    failure: 'a server that fails immediately attracts the load',
+    isEjected: true,
+    degrade: (router) => {
+      endAttempts(router, 'bad', AttemptOutcome.Failed, 4);
     },
   },
   {
     failure: 'a server that cannot be reached gets more requests',
-    isShunned: true,
-    spoil: (router) => {
-      conclude(router, 'bad', AttemptEnd.Unreachable, 1);
+    isEjected: true,
+    degrade: (router) => {
+      endAttempts(router, 'bad', AttemptOutcome.Unreachable, 1);
     },
   },
   {
     failure: 'a server that became slow keeps its share',
-    isShunned: true,
-    spoil: (router) => {
+    isEjected: true,
+    degrade: (router) => {
       for (let call = 0; call < 12; call += 1) {
-        router.concluded('bad', AttemptEnd.Answered, 100, at(10));
+        router.onAttemptEnded('bad', AttemptOutcome.Answered, 100, at(10));
       }
     },
   },
   {
-    failure: 'one failure takes a healthy server away',
-    isShunned: false,
-    spoil: (router) => {
-      conclude(router, 'bad', AttemptEnd.Answered, 10);
-      conclude(router, 'bad', AttemptEnd.Failed, 1);
+    failure: 'a single failure ejects a healthy server',
+    isEjected: false,
+    degrade: (router) => {
+      endAttempts(router, 'bad', AttemptOutcome.Answered, 10);
+      endAttempts(router, 'bad', AttemptOutcome.Failed, 1);
     },
   },
   {
-    failure: 'a cold server is shunned as slow, so that it never warms up',
-    isShunned: false,
-    spoil: (router) => {
-      router.reported('bad', load(1, { limit: 2, state: 'warming' }), at(10));
+    failure: 'a cold server is ejected as slow, so that it never warms up',
+    isEjected: false,
+    degrade: (router) => {
+      router.onLoadReport('bad', load(1, { limit: 2, state: 'warming' }), at(10));
       for (let call = 0; call < 12; call += 1) {
-        router.concluded('bad', AttemptEnd.Answered, 100, at(10));
+        router.onAttemptEnded('bad', AttemptOutcome.Answered, 100, at(10));
       }
     },
   },
   {
-    failure: 'refusals, which cost nothing, count as failures',
-    isShunned: false,
-    spoil: (router) => {
-      conclude(router, 'bad', AttemptEnd.Refused, 20);
+    failure: 'refusals, which cost the server nothing, count as failures',
+    isEjected: false,
+    degrade: (router) => {
+      endAttempts(router, 'bad', AttemptOutcome.Refused, 20);
     },
   },
 ];
 
-function healthyAndSpoiled(spoil: (router: RouterContract) => void): RouterContract {
+function routerWithDegradedTarget(degrade: (router: RouterContract) => void): RouterContract {
   const servers = ['one', 'two', 'three', 'bad'];
   const router = routerWith(servers.map((server) => target(server)));
-  for (const server of servers.slice(0, 3)) conclude(router, server, AttemptEnd.Answered, 20);
-  spoil(router);
+  for (const server of servers.slice(0, 3))
+    endAttempts(router, server, AttemptOutcome.Answered, 20);
+  degrade(router);
   return router;
 }
 
-for (const { failure, isShunned, spoil } of shunCases) {
+for (const { failure, isEjected: isEjected, degrade: degrade } of ejectionCases) {
   test(`never: ${failure}`, () => {
-    const router = healthyAndSpoiled(spoil);
-    // With the others loaded, only the shun keeps requests from the idle target.
-    for (const server of ['one', 'two', 'three']) router.reported(server, load(9), at(10));
-    router.reported('bad', load(0), at(10));
-    assert.is(shares(router, 11).has('bad'), !isShunned);
+    const router = routerWithDegradedTarget(degrade);
+    // As the others are loaded, only an ejection keeps requests from the idle target.
+    for (const server of ['one', 'two', 'three']) router.onLoadReport(server, load(9), at(10));
+    router.onLoadReport('bad', load(0), at(10));
+    assert.is(countChoices(router, 11).has('bad'), !isEjected);
   });
 }
 
-test('targets that all fail half of their requests stay in the choice most of the time', () => {
+test('targets that all fail half of their requests are rarely ejected', () => {
   const servers = ['one', 'two', 'three', 'four'];
   const router = routerWith(servers.map((server) => target(server)));
   const random = new SeededRandomSource(9);
-  let shunned = 0;
+  let ejections = 0;
   for (let call = 0; call < 4_000; call += 1) {
-    const server = router.choose('lookup', none, at(10 * call))?.server ?? '';
-    router.sent(server, at(10 * call));
-    const end = random.next() < 0.5 ? AttemptEnd.Failed : AttemptEnd.Answered;
-    router.concluded(server, end, 5, at(10 * call + 5));
+    const server = router.choose('lookup', noExclusions, at(10 * call))?.server ?? '';
+    router.onSent(server, at(10 * call));
+    const end = random.next() < 0.5 ? AttemptOutcome.Failed : AttemptOutcome.Answered;
+    router.onAttemptEnded(server, end, 5, at(10 * call + 5));
     for (const each of servers) {
-      if (router.chooseServer('lookup', each, at(10 * call + 5)) === undefined) shunned += 1;
+      if (router.chooseServer('lookup', each, at(10 * call + 5)) === undefined) ejections += 1;
     }
   }
-  assert.ok(shunned < 0.1 * 4 * 4_000, `${shunned} of 16000`);
+  assert.ok(ejections < 0.1 * 4 * 4_000, `${ejections} of 16000`);
 });
 
-test('a shunned server gets one trial, and a growing share after its success', () => {
-  const router = healthyAndSpoiled((each) => {
-    conclude(each, 'bad', AttemptEnd.Failed, 4);
+test('an ejected server gets one trial request, and a growing share after the trial succeeds', () => {
+  const router = routerWithDegradedTarget((each) => {
+    endAttempts(each, 'bad', AttemptOutcome.Failed, 4);
   });
-  assert.is(shares(router, 300).get('bad'), 1);
-  router.concluded('bad', AttemptEnd.Answered, 20, at(320));
-  for (const server of ['one', 'two', 'three', 'bad']) router.reported(server, load(2), at(320));
-  const early = shares(router, 330).get('bad') ?? 0;
-  for (const server of ['one', 'two', 'three', 'bad']) router.reported(server, load(2), at(2_400));
-  const late = shares(router, 2_400).get('bad') ?? 0;
+  assert.is(countChoices(router, 300).get('bad'), 1);
+  router.onAttemptEnded('bad', AttemptOutcome.Answered, 20, at(320));
+  for (const server of ['one', 'two', 'three', 'bad'])
+    router.onLoadReport(server, load(2), at(320));
+  const early = countChoices(router, 330).get('bad') ?? 0;
+  for (const server of ['one', 'two', 'three', 'bad'])
+    router.onLoadReport(server, load(2), at(2_400));
+  const late = countChoices(router, 2_400).get('bad') ?? 0;
   assert.is(early, 0);
   assert.ok(late > 100, `${late} of 600`);
 });
 
-test('failed trials are further and further apart, at most 10 s', () => {
-  const router = healthyAndSpoiled((each) => {
-    conclude(each, 'bad', AttemptEnd.Failed, 4);
+test('the time between failing trials grows, up to 10 s', () => {
+  const router = routerWithDegradedTarget((each) => {
+    endAttempts(each, 'bad', AttemptOutcome.Failed, 4);
   });
   const trials: number[] = [];
   for (let now = 20; now < 60_000; now += 10) {
-    if (router.choose('lookup', none, at(now))?.server !== 'bad') continue;
+    if (router.choose('lookup', noExclusions, at(now))?.server !== 'bad') continue;
     trials.push(now);
-    router.concluded('bad', AttemptEnd.Failed, 1, at(now + 1));
+    router.onAttemptEnded('bad', AttemptOutcome.Failed, 1, at(now + 1));
   }
   const gaps = trials.slice(1).map((time, index) => time - (trials[index] ?? 0));
   assert.ok(gaps.every((gap, index) => index === 0 || gap >= (gaps[index - 1] ?? 0) - 10));
@@ -220,63 +228,63 @@
   assert.ok(trials.length < 14, `${trials.length}`);
 });
 
-test('a call that cannot be repeated is not the trial while another call may be', () => {
-  const router = healthyAndSpoiled((each) => {
-    conclude(each, 'bad', AttemptEnd.Failed, 4);
+test('a call that cannot be sent again becomes the trial only if no other call has for a time', () => {
+  const router = routerWithDegradedTarget((each) => {
+    endAttempts(each, 'bad', AttemptOutcome.Failed, 4);
   });
-  assert.is.not(router.choose('lookup', none, at(300), true)?.server, 'bad');
-  assert.is(router.choose('lookup', none, at(1_400), true)?.server, 'bad');
+  assert.is.not(router.choose('lookup', noExclusions, at(300), true)?.server, 'bad');
+  assert.is(router.choose('lookup', noExclusions, at(1_400), true)?.server, 'bad');
 });
 
-test('when every target is shunned, the choice is made among all of them', () => {
+test('if every target is ejected, all of them are chosen from', () => {
   const router = routerWith([target('one'), target('two')]);
-  for (const server of ['one', 'two']) conclude(router, server, AttemptEnd.Unreachable, 1);
-  assert.is(shares(router, 11).size, 2);
+  for (const server of ['one', 'two']) endAttempts(router, server, AttemptOutcome.Unreachable, 1);
+  assert.is(countChoices(router, 11).size, 2);
 });
 
-test('a call that the open targets refused goes to a slow target, never to a failing one', () => {
-  const spoilers = {
-    failing: { chosen: undefined, end: AttemptEnd.Failed, latency: 1 },
-    slow: { chosen: 'bad', end: AttemptEnd.Answered, latency: 100 },
+test('a call that all open targets refused goes to an ejected slow target, never to a failing one', () => {
+  const degradations = {
+    failing: { chosen: undefined, end: AttemptOutcome.Failed, latency: 1 },
+    slow: { chosen: 'bad', end: AttemptOutcome.Answered, latency: 100 },
   };
-  for (const { chosen, end, latency } of Object.values(spoilers)) {
-    const router = healthyAndSpoiled((each) => {
-      for (let call = 0; call < 12; call += 1) each.concluded('bad', end, latency, at(10));
+  for (const { chosen, end, latency } of Object.values(degradations)) {
+    const router = routerWithDegradedTarget((each) => {
+      for (let call = 0; call < 12; call += 1) each.onAttemptEnded('bad', end, latency, at(10));
     });
     const refused = new Set(['one', 'two', 'three']);
     assert.is(router.choose('lookup', refused, at(11))?.server, chosen);
   }
 });
 
-test('a new target has a small share until its gate reports a limit of its own', () => {
+test('a new target has a small share until its gate reports a limit', () => {
   const router = routerWith([], { rampMilliseconds: 10_000 });
   router.upsert(target('old'), at(-20_000));
   router.upsert(target('new'), at(0));
-  router.reported('old', load(2), at(1));
-  assert.is(shares(router, 2).get('new') ?? 0, 0);
-  router.reported('new', load(1, { limit: 2, state: 'warming' }), at(3));
-  router.reported('old', load(2), at(3));
-  assert.is(shares(router, 3).get('new') ?? 0, 0);
-  router.reported('new', load(0, { limit: 8, state: 'warming' }), at(4));
-  router.reported('old', load(2), at(4));
-  assert.ok((shares(router, 4).get('new') ?? 0) > 0);
+  router.onLoadReport('old', load(2), at(1));
+  assert.is(countChoices(router, 2).get('new') ?? 0, 0);
+  router.onLoadReport('new', load(1, { limit: 2, state: 'warming' }), at(3));
+  router.onLoadReport('old', load(2), at(3));
+  assert.is(countChoices(router, 3).get('new') ?? 0, 0);
+  router.onLoadReport('new', load(0, { limit: 8, state: 'warming' }), at(4));
+  router.onLoadReport('old', load(2), at(4));
+  assert.ok((countChoices(router, 4).get('new') ?? 0) > 0);
 });
 
-test('probes are due after silence, only while the service is used, and within the budget', () => {
+test('probes are due without recent reports, only while the service is used, and within the budget', () => {
   const servers = Array.from({ length: 300 }, (_, index) => target(`s${index}`));
   const router = routerWith(servers);
-  assert.is(router.dueForProbe(at(2_000)).length, 0);
+  assert.is(router.targetsDueForProbe(at(2_000)).length, 0);
   let probes = 0;
   for (let now = 2_000; now < 6_000; now += 10) {
-    router.choose('lookup', none, at(now));
-    probes += router.dueForProbe(at(now)).length;
+    router.choose('lookup', noExclusions, at(now));
+    probes += router.targetsDueForProbe(at(now)).length;
   }
-  // 3 a second for 4 seconds, and the 3 that the bucket holds at first.
+  // 3 per second for 4 seconds, and the 3 tokens that the bucket contains initially.
   assert.ok(probes >= 12 && probes <= 15, `${probes}`);
-  assert.is(router.dueForProbe(at(60_000)).length, 0);
+  assert.is(router.targetsDueForProbe(at(60_000)).length, 0);
 });
 
-test('a choice is never an excluded target, and there is one whenever a target is left', () => {
+test('an excluded target is never chosen, and a target is chosen whenever one is left', () => {
   fc.assert(
     fc.property(
       fc.integer({ max: 8, min: 1 }),
--- a/packages/core/tests/routing/setup.ts
+++ b/packages/core/tests/routing/setup.ts
@@ -7,7 +7,7 @@
   Target,
 } from '../../src/index.js';
 
-export const none: ReadonlySet<string> = new Set();
+export const noExclusions: ReadonlySet<string> = new Set();
 
 export function at(monotonic: number): ClockReading {
   return { monotonic, wall: monotonic };
@@ -52,11 +52,15 @@
   return router;
 }
 
-/** How often each server is chosen in a number of choices at one time. */
-export function shares(router: RouterContract, now: number, choices = 600): Map<string, number> {
+/** Counts how often each server is chosen in a number of choices at the same time. */
+export function countChoices(
+  router: RouterContract,
+  now: number,
+  choices = 600,
+): Map<string, number> {
   const counts = new Map<string, number>();
   for (let choice = 0; choice < choices; choice += 1) {
-    const server = router.choose('lookup', none, at(now))?.server ?? 'none';
+    const server = router.choose('lookup', noExclusions, at(now))?.server ?? 'none';
     counts.set(server, (counts.get(server) ?? 0) + 1);
   }
   return counts;
--- a/packages/core/tests/shared/random-source.test.ts
+++ b/packages/core/tests/shared/random-source.test.ts
@@ -3,7 +3,7 @@
 
 import { nextInteger, SeededRandomSource, shuffled } from '../../src/index.js';
 
-test('the same seed gives the same numbers, so that a failing run can be repeated', () => {
+test('the same seed gives the same numbers, so that a failing run is reproducible', () => {
   const first = new SeededRandomSource(7);
   const second = new SeededRandomSource(7);
   for (let draw = 0; draw < 100; draw += 1) {
@@ -11,7 +11,7 @@
   }
 });
 
-test('integers stay below their bound and reach every value', () => {
+test('integers stay below their bound and cover every value', () => {
   const random = new SeededRandomSource(1);
   const seen = new Set<number>();
   for (let draw = 0; draw < 200; draw += 1) {
@@ -20,7 +20,7 @@
   assert.equal([...seen].sort(), [0, 1, 2, 3, 4]);
 });
 
-test('shuffling loses no element', () => {
+test('shuffling keeps all elements', () => {
   const random = new SeededRandomSource(3);
   assert.equal([...shuffled(random, [4, 1, 3, 2])].sort(), [1, 2, 3, 4]);
 });
--- a/packages/daemon/src/operators/core-node-view.ts
+++ b/packages/daemon/src/operators/core-node-view.ts
@@ -2,8 +2,8 @@
   ClockReading,
   Configuration,
   CoreMessage,
-  HeldHome,
-  KeyKnownCommand,
+  ServiceHomeStatus,
+  KeyStateCommand,
   LoadReport,
   NodeCore,
   NodeIdentity,
@@ -33,7 +33,7 @@
  * platform client.
  */
 export class CoreNodeView implements NodeView {
-  private readonly pendingKeyQuestions = new Map<number, (command: KeyKnownCommand) => void>();
+  private readonly pendingKeyQuestions = new Map<number, (command: KeyStateCommand) => void>();
   private nextQuestionId = 1;
 
   public constructor(private readonly options: CoreNodeViewOptions) {}
@@ -43,22 +43,22 @@
   }
 
   public configuration(): Configuration {
-    return this.options.core.parts.configuration.inForce;
+    return this.options.core.subsystems.configuration.inForce;
   }
 
   public members(): readonly MemberView[] {
     const { core } = this.options;
-    return core.parts.membership
+    return core.subsystems.membership
       .members()
       .map((member) => ({ ...member, reachable: core.isReachable(member.server) }));
   }
 
   public load(): LoadReport | undefined {
-    return this.options.core.parts.gate.load(this.options.clock());
+    return this.options.core.subsystems.gate.loadReport(this.options.clock());
   }
 
-  public homes(): readonly HeldHome[] {
-    return this.options.core.parts.homes.held(this.options.clock());
+  public homes(): readonly ServiceHomeStatus[] {
+    return this.options.core.subsystems.homes.statuses(this.options.clock());
   }
 
   public tenantUse(): readonly TenantUse[] {
@@ -66,7 +66,7 @@
     if (service === undefined) {
       return [];
     }
-    return this.options.core.parts.gate.tenantUse().map(({ running, tenant, waiting }) => ({
+    return this.options.core.subsystems.gate.tenantUsage().map(({ running, tenant, waiting }) => ({
       inFlight: running,
       queued: waiting,
       service,
@@ -76,9 +76,9 @@
 
   public budgets(): readonly BudgetUse[] {
     const { clock, core, keyRecordLimits } = this.options;
-    const keyRecordUsage = core.parts.homes.recordUsage;
+    const keyRecordUsage = core.subsystems.homes.recordUsage;
     const pollBudgetUse = core.pollBudget(clock());
-    const retryBudgetUses = core.parts.engine.retryBudgets();
+    const retryBudgetUses = core.subsystems.engine.retryBudgets();
     return [
       {
         allowed: pollBudgetUse.allowedSlotMilliseconds,
@@ -113,7 +113,7 @@
       lastAnswerAt: store.lastResponseAt,
       latencyMilliseconds: store.latencyMilliseconds,
       reachable: store.isResponding,
-      watching: core.parts.membership.isBridge,
+      watching: core.subsystems.membership.isBridge,
     };
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Handles the answer to a question about a key. */
-  public onKeyKnown(command: KeyKnownCommand): void {
+  public onKeyKnown(command: KeyStateCommand): void {
     this.pendingKeyQuestions.get(command.questionId)?.(command);
     this.pendingKeyQuestions.delete(command.questionId);
   }
--- a/packages/daemon/src/operators/gauges.ts
+++ b/packages/daemon/src/operators/gauges.ts
@@ -54,12 +54,12 @@
     {
       help: 'Calls in progress that this node makes.',
       name: 'calls_in_progress',
-      read: () => core.parts.engine.callsInProgress,
+      read: () => core.subsystems.engine.callsInProgress,
     },
     {
       help: 'Keys that were forgotten before their retention time since the start, for lack of room.',
       name: 'keys_forgotten_early',
-      read: () => core.parts.homes.recordUsage.forgotten,
+      read: () => core.subsystems.homes.recordUsage.evicted,
     },
     {
       help: 'Bytes sent to other nodes since the start.',
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -1,7 +1,7 @@
 import { CallerServer } from '@peridotspring/callers';
 import type { FinishedRequest } from '@peridotspring/callers';
 import type {
-  CallerGoneMessage,
+  CallerDisconnectedMessage,
   CallerRequestMessage,
   ClockReading,
   CreateNodeCoreOptions,
@@ -155,7 +155,7 @@
     maximumRecords: settings.keyRecords,
     minimumRetentionMilliseconds: settings.minimumRetentionMilliseconds,
     retentionMilliseconds: settings.retentionMilliseconds,
-    skewMilliseconds: settings.clockSkewMilliseconds,
+    maximumClockSkewMilliseconds: settings.clockSkewMilliseconds,
   };
 }
 
@@ -202,7 +202,7 @@
   });
   const gatherer = new PeerGatherer({
     send: (server, frame) => {
-      const address = core.parts.membership.member(server)?.peerAddress;
+      const address = core.subsystems.membership.member(server)?.peerAddress;
       return (
         address !== undefined &&
         networkParts().connections.send(server, address, frame) === SendResult.Accepted
@@ -242,9 +242,9 @@
     bindHost: settings.callerBindAddress.host,
     bindPort: settings.callerBindAddress.port,
     clock: () => performance.now(),
-    configuration: () => core.parts.configuration.inForce,
+    configuration: () => core.subsystems.configuration.inForce,
     defaultTenant: settings.defaultTenant,
-    deliver: (message: CallerGoneMessage | CallerRequestMessage) => {
+    deliver: (message: CallerDisconnectedMessage | CallerRequestMessage) => {
       if (message.kind === 'caller-request') {
         operatorParts.observer.onRequestReceived(message);
       }
@@ -273,7 +273,7 @@
       driver.deliver(message);
     },
     sendFrame: (server, frame) => {
-      connections.send(server, core.parts.membership.member(server)?.peerAddress ?? '', frame);
+      connections.send(server, core.subsystems.membership.member(server)?.peerAddress ?? '', frame);
     },
     upstreamResponseBody: (executionId) => upstream.responseBody(executionId),
   });
--- a/packages/mesh-core/src/messages/header-list.ts
+++ b/packages/mesh-core/src/messages/header-list.ts
@@ -1,4 +1,4 @@
-import { hopByHopNames, namesListed } from '@peridotspring/core';
+import { hopByHopFieldNames, parseConnectionOptions } from '@peridotspring/core';
 
 import type { HeaderList } from './mesh-frames.js';
 
@@ -15,8 +15,10 @@
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = (rawHeaders[index] ?? '').toLowerCase();
     const value = rawHeaders[index + 1] ?? '';
-    if (name === 'connection') for (const token of namesListed(value)) connectionOptions.add(token);
-    if (hopByHopNames.has(name) || name === 'content-length' || reservedNames.has(name)) continue;
+    if (name === 'connection')
+      for (const token of parseConnectionOptions(value)) connectionOptions.add(token);
+    if (hopByHopFieldNames.has(name) || name === 'content-length' || reservedNames.has(name))
+      continue;
     fields.push([name, value]);
   }
   return connectionOptions.size === 0
--- a/packages/operators/src/node-view.ts
+++ b/packages/operators/src/node-view.ts
@@ -1,6 +1,6 @@
 import type {
   Configuration,
-  HeldHome,
+  ServiceHomeStatus,
   KeyRecord,
   LoadReport,
   MemberRecord,
@@ -71,7 +71,7 @@
   /** Undefined while no upstream has announced itself. */
   load(): LoadReport | undefined;
   /** The services of which this node is a home. */
-  homes(): readonly HeldHome[];
+  homes(): readonly ServiceHomeStatus[];
   tenantUse(): readonly TenantUse[];
   budgets(): readonly BudgetUse[];
   platform(): PlatformUse;
--- a/packages/virtual-time/src/control-memory.ts
+++ b/packages/virtual-time/src/control-memory.ts
@@ -24,7 +24,7 @@
     // Decoded from bytes as on a connection, so that no text is shared with another record.
     const records = encoder.decode(encoder.encode(sent)) as readonly MemberRecord[];
     const frame = { kind: 'member-sync', step: 'records', records, wanted: [] } as const;
-    membership.frame('server-1', frame, now);
+    membership.onFrame('server-1', frame, now);
   }
   const used = collectedHeap() - before;
   // Keeps the membership reachable until after the measurement.
--- a/packages/virtual-time/src/control-node.ts
+++ b/packages/virtual-time/src/control-node.ts
@@ -1,5 +1,5 @@
 import {
-  ConfigurationKeeper,
+  ConfigurationManager,
   Membership,
   SeededRandomSource,
   type ClockReading,
@@ -42,7 +42,7 @@
 /** The membership and the configuration of one node, composed as the node's core composes them. */
 export class ControlNode {
   public readonly membership: Membership;
-  public readonly keeper: ConfigurationKeeper;
+  public readonly keeper: ConfigurationManager;
   public isRunning = true;
   /** While frozen, what arrives waits and no time passes for the node. */
   public isFrozen = false;
@@ -59,7 +59,7 @@
   ) {
     const random = new SeededRandomSource(seed);
     this.membership = new Membership({ identity, random, seeds });
-    this.keeper = new ConfigurationKeeper({
+    this.keeper = new ConfigurationManager({
       random: new SeededRandomSource(seed + 1),
       server: identity.server,
       collectionIntervalMilliseconds: links.collectionIntervalMilliseconds,
@@ -75,15 +75,15 @@
       case 'configuration-announcement':
       case 'configuration-pull':
       case 'configuration-push':
-        this.carryOut(this.keeper.frame(from, frame, now), now);
+        this.carryOut(this.keeper.handleFrame(from, frame, now), now);
         return;
       default:
-        this.carryOut(this.membership.frame(from, frame, now), now);
+        this.carryOut(this.membership.onFrame(from, frame, now), now);
     }
   }
 
   public peerLost(server: string, now: ClockReading): void {
-    this.carryOut(this.membership.peerLost(server, now), now);
+    this.carryOut(this.membership.onPeerLost(server, now), now);
   }
 
   public storeResult(
@@ -144,7 +144,7 @@
           this.peersChanged ||= command.member.availabilityZone === this.identity.availabilityZone;
           break;
         case 'revision-seen':
-          this.carryOut(this.keeper.revisionSeen(command.server, command.revision, now), now);
+          this.carryOut(this.keeper.onRevisionObserved(command.server, command.revision, now), now);
           break;
         case 'configuration-in-force':
           this.membership.setConfigurationRevision(command.configuration.revision);
--- a/packages/virtual-time/src/fleet-changes.ts
+++ b/packages/virtual-time/src/fleet-changes.ts
@@ -29,7 +29,7 @@
     services,
   };
   fleet.log.changes.push(change);
-  const base = node.core.parts.configuration.inForce;
+  const base = node.core.subsystems.configuration.inForce;
   const changed = services.map((name) => [name, declaration(name, marker)] as const);
   const declared = { ...base.services, ...Object.fromEntries(changed) };
   node.deliver({
--- a/packages/virtual-time/src/fleet-measurements.ts
+++ b/packages/virtual-time/src/fleet-measurements.ts
@@ -46,7 +46,7 @@
 /** First attempts with new keys after the fault, through nodes that it does not hit, by range. */
 function requestsByRange(run: FleetRun, hit: string | undefined, from: number): Range[] {
   const { fleet } = run;
-  const homes = fleet.running[0]?.core.parts.homes;
+  const homes = fleet.running[0]?.core.subsystems.homes;
   const seen = new Set<string>();
   const byRange = new Map<number, RequestEntry[]>();
   for (const request of fleet.log.requests) {
@@ -72,7 +72,7 @@
   const run = new FleetRun({ load: { ...load, intervalMilliseconds: 8, seed }, seed });
   const { fleet } = run;
   fleet.run(20_000);
-  const table = fleet.running[0]?.core.parts.homes.table(service);
+  const table = fleet.running[0]?.core.subsystems.homes.table(service);
   const home = table?.ranges[0]?.server ?? '';
   const index = fleet.servers.findIndex(({ server }) => server === home);
   const hit = kind === 'store-down' ? undefined : home;
@@ -150,7 +150,9 @@
   fleet.upstreams.get('server-2')?.setDraining(true);
   for (let passed = 0; passed < 10_000 && known === Infinity; passed += 5) {
     fleet.run(5);
-    const states = fleet.running.map(({ core }) => core.parts.membership.member('server-2')?.state);
+    const states = fleet.running.map(
+      ({ core }) => core.subsystems.membership.member('server-2')?.state,
+    );
     if (states.every((state) => state === 'draining')) known = fleet.now - from;
   }
   fleet.run(5_000);
--- a/packages/virtual-time/src/request-slopes.ts
+++ b/packages/virtual-time/src/request-slopes.ts
@@ -2,7 +2,7 @@
   CallEngine,
   defaultHomeSettings,
   Gate,
-  HomeKeeper,
+  HomeManager,
   Router,
   SeededRandomSource,
   serviceDefaults,
@@ -74,7 +74,7 @@
   return microsecondsPerRound(calls, (round) => {
     const now = at(round * 0.5);
     const call = {
-      bodyHeld: true,
+      isBodyReplayable: true,
       callNumber: round + 1,
       deadline: now.monotonic + 1_000,
       requestClass: 'idempotent',
@@ -90,7 +90,7 @@
         service,
         state: 'serving',
       } as const;
-      engine.answered(command.attemptId, 200, load, now);
+      engine.onAnswered(command.attemptId, 200, load, now);
     }
     if (round % 20 === 0) engine.tick(now);
   });
@@ -117,12 +117,12 @@
       service,
       tenant: `tenant-${round % tenants}`,
     };
-    for (const decision of gate.offer(request, now)) {
+    for (const decision of gate.submit(request, now)) {
       if (decision.kind === 'start') running.push(decision.executionId);
     }
     if (running.length >= 10) {
       for (const executionId of running.splice(0, 5)) {
-        for (const decision of gate.finished(executionId, 'answered', now)) {
+        for (const decision of gate.onFinished(executionId, 'answered', now)) {
           if (decision.kind === 'start') running = [...running, decision.executionId];
         }
       }
@@ -132,7 +132,7 @@
 
 /** Homes of one service on this node, confirmed by witnesses that this function plays. */
 class HomeUnderTest {
-  public readonly keeper = new HomeKeeper(
+  public readonly keeper = new HomeManager(
     { incarnation: startWall, server: 'home' },
     { ...defaultHomeSettings, keyRecordBytes: 1_000_000_000, maximumRecords: 2_000_000 },
   );
@@ -142,7 +142,7 @@
   public constructor(private readonly services: readonly string[]) {
     for (const name of services) {
       this.handle(
-        this.keeper.frame(
+        this.keeper.onFrame(
           'w1',
           { kind: 'home-table', service: name, table: tableOf(name) },
           this.now,
@@ -171,7 +171,7 @@
         service: name,
         version,
       } as const;
-      this.handle(this.keeper.frame(command.to, promise, this.now));
+      this.handle(this.keeper.onFrame(command.to, promise, this.now));
     }
     return commands;
   }
@@ -219,11 +219,11 @@
 
 /** Runs one keyed request with an answer of 256 bytes through its home. */
 function runKeyed(home: HomeUnderTest, round: number): void {
-  for (const command of home.keeper.request('entry', home.request(round), home.now)) {
+  for (const command of home.keeper.onRequest('entry', home.request(round), home.now)) {
     if (command.kind !== 'run-keyed') continue;
     const answer = { body: new Uint8Array(256), headers: {}, status: 200 };
     const outcome = { kind: 'answered', status: 200 } as const;
-    home.handle(home.keeper.concluded(command.dispatchId, outcome, answer, home.now));
+    home.handle(home.keeper.onAttemptConcluded(command.dispatchId, outcome, answer, home.now));
   }
 }
 
--- a/packages/virtual-time/src/simulated-node.ts
+++ b/packages/virtual-time/src/simulated-node.ts
@@ -93,9 +93,9 @@
     const announcement = { address: 'upstream:1', connections: 250, service: this.target.service };
     this.gate.announce({ ...announcement, slots: slotsPerServer }, now);
     // The first reading ends a ramp of no length, so that the configured one does not apply to it.
-    this.gate.load(now);
+    this.gate.loadReport(now);
     this.gate.configure(configuration, now);
-    this.polls.announce(slotsPerServer, now);
+    this.polls.setSlots(slotsPerServer, now);
   }
 
   public drain(): void {
@@ -115,30 +115,30 @@
     const isSharing = this.variant.without !== Mechanism.FairShare;
     const service = this.target.service;
     const request = { deadline, executionId, service, tenant: isSharing ? tenant : 'all' };
-    this.carryOut(this.gate.offer(request, this.events.now));
+    this.carryOut(this.gate.submit(request, this.events.now));
     return executionId;
   }
 
   public cancel(executionId: number): void {
     if (!this.executions.delete(executionId)) return;
     if (this.gate.cancelWaiting(executionId) || !this.upstream.cancel(executionId)) return;
-    this.carryOut(this.gate.finished(executionId, ExecutionEnd.Cancelled, this.events.now));
+    this.carryOut(this.gate.onFinished(executionId, ExecutionEnd.Cancelled, this.events.now));
   }
 
   public load(): LoadReport | undefined {
-    return this.gate.load(this.events.now);
+    return this.gate.loadReport(this.events.now);
   }
 
   /** What the gate does at a tick, polls included. */
   public tick(): void {
     const now = this.events.now;
     this.carryOut(this.gate.tick(now));
-    if (!this.polls.due(now)) return;
+    if (!this.polls.tryStartPoll(now)) return;
     const duration = defaultPollSettings.requestMilliseconds * defaultPollSettings.requestsPerPoll;
     const result = this.upstream.poll(duration, this.place.serverIndex);
     this.events.after(duration, () => {
-      this.polls.polled();
-      this.carryOut(this.gate.polled(result.healthy, result.inFlight, this.events.now));
+      this.polls.onPollFinished();
+      this.carryOut(this.gate.onPolled(result.healthy, result.inFlight, this.events.now));
     });
   }
 
@@ -164,8 +164,8 @@
     this.started += 1;
     this.upstream.start(executionId, execution.work, (end) => {
       this.executions.delete(executionId);
-      const decisions = this.gate.finished(executionId, end, this.events.now);
-      const load = this.gate.load(this.events.now);
+      const decisions = this.gate.onFinished(executionId, end, this.events.now);
+      const load = this.gate.loadReport(this.events.now);
       const kind = end === ExecutionEnd.Answered ? 'answered' : 'failed';
       if (load !== undefined) execution.reply({ kind, load });
       this.carryOut(decisions);
@@ -182,11 +182,11 @@
 class AnnouncedLimit implements ConcurrencyLimit {
   public limit = 1;
 
-  public announce(slots: number): void {
+  public setSlots(slots: number): void {
     this.limit = slots;
   }
 
-  public answered(): void {
+  public onAnswered(): void {
     // The limit does not follow the latency.
   }
 }
@@ -211,7 +211,7 @@
     ...ramp,
     availabilityZone: place.availabilityZone,
     region: deployment.region,
-    shunning: variant.shunning,
+    outlierEjection: variant.shunning,
     zoneDelays: Object.fromEntries(zoneDelays),
   };
 }
--- a/packages/virtual-time/src/simulation.ts
+++ b/packages/virtual-time/src/simulation.ts
@@ -161,7 +161,7 @@
     this.calls.set(callNumber, call);
     const commands = engineNode.engine.begin(
       {
-        bodyHeld: true,
+        isBodyReplayable: true,
         callNumber,
         deadline: this.events.now.monotonic + deadlineMilliseconds,
         preferredServer: isKeyed ? engineNode.target.server : undefined,
@@ -215,13 +215,13 @@
     const now = this.events.now;
     switch (reply.kind) {
       case 'answered':
-        this.carryOut(sender, engine.answered(attemptId, 200, reply.load, now));
+        this.carryOut(sender, engine.onAnswered(attemptId, 200, reply.load, now));
         break;
       case 'failed':
-        this.carryOut(sender, engine.failed(attemptId, reply.load, now));
+        this.carryOut(sender, engine.onFailed(attemptId, reply.load, now));
         break;
       case 'refused':
-        this.carryOut(sender, engine.refused(attemptId, reply.refusal, now));
+        this.carryOut(sender, engine.onRefused(attemptId, reply.refusal, now));
     }
   }
 
@@ -257,7 +257,7 @@
 
   /** Asks gates that were silent for their load. */
   private probe(node: SimulatedNode): void {
-    for (const { server } of node.router.dueForProbe(this.events.now)) {
+    for (const { server } of node.router.targetsDueForProbe(this.events.now)) {
       const gateNode = this.byServer.get(server);
       if (gateNode === undefined) continue;
       const delay = this.delay(node, gateNode);
@@ -265,7 +265,7 @@
         const load = gateNode.load();
         if (load === undefined) return;
         this.events.after(delay, () => {
-          node.router.reported(server, load, this.events.now);
+          node.router.onLoadReport(server, load, this.events.now);
         });
       });
     }
--- a/packages/virtual-time/src/variant.ts
+++ b/packages/virtual-time/src/variant.ts
@@ -4,7 +4,7 @@
   RandomPolicy,
   RoundRobinPolicy,
   TwoChoicesPolicy,
-  zoneView,
+  createZoneTopology,
 } from '@peridotspring/core';
 import type { RandomSource, RouterOptions, SelectionPolicy } from '@peridotspring/core';
 
@@ -51,7 +51,7 @@
 function chosen(name: string, without?: Mechanism): Variant {
   return {
     createPolicy: (options, random) =>
-      new PowerOfChoicesPolicy(random, zoneView(options), {
+      new PowerOfChoicesPolicy(random, createZoneTopology(options), {
         ageing: without !== Mechanism.Ageing,
         sentSinceReport: without !== Mechanism.SentSinceReport,
         zoneCost: without !== Mechanism.ZoneAwareness,
--- a/packages/virtual-time/tests/fleet-cut.test.ts
+++ b/packages/virtual-time/tests/fleet-cut.test.ts
@@ -28,7 +28,7 @@
   const { fleet } = run;
   fleet.run(15_000);
   const tableOf = (server: string): HomeTable | undefined =>
-    fleet.node(server)?.core.parts.homes.table(service);
+    fleet.node(server)?.core.subsystems.homes.table(service);
   const home = tableOf('server-0')?.ranges.at(-1)?.server ?? '';
   const index = fleet.servers.findIndex(({ server }) => server === home);
   const zone = fleet.servers[index]?.availabilityZone;
--- a/packages/virtual-time/tests/fleet-start.test.ts
+++ b/packages/virtual-time/tests/fleet-start.test.ts
@@ -11,7 +11,9 @@
     const fleet = new Fleet({ seed, servers: fleetServers(), tickMilliseconds: 25 });
     fleet.run(5_000);
     for (const { core, server } of fleet.running) {
-      const known = core.parts.membership.members().filter(({ service }) => service !== undefined);
+      const known = core.subsystems.membership
+        .members()
+        .filter(({ service }) => service !== undefined);
       assert.is(known.length, fleet.servers.length, `${server} lacks announcements, seed ${seed}`);
     }
   }
@@ -27,7 +29,7 @@
     fleet.run(1_000);
     fleet.start('server-3');
     fleet.run(5_000);
-    const known = fleet.node('server-3')?.core.parts.membership.members().length;
+    const known = fleet.node('server-3')?.core.subsystems.membership.members().length;
     assert.is(known, fleet.servers.length, `members are missing, seed ${seed}`);
   }
 });
