--- a/packages/ctl/tests/operator-port.test.ts
+++ b/packages/ctl/tests/operator-port.test.ts
@@ -22,7 +22,7 @@
     const missing = { count: 0, named: [] };
     return Promise.resolve(new Map([['regina-hall', { lacking, members: 1, missing }]]));
   },
-  answerZone: () => Promise.resolve({ kind: 'failed', cause: 'no members' }),
+  answerZoneQuestion: () => Promise.resolve({ kind: 'failed', cause: 'no members' }),
   propose: ({ changeId, configuration: proposed }) => {
     configuration = { ...proposed, revision: configuration.revision + 1 };
     committed.set(changeId, configuration.revision);
@@ -32,12 +32,12 @@
     );
   },
   readiness: () => ({ causes: [], ready: true }),
-  rows: () =>
+  localRows: () =>
     Promise.resolve([
       { revision: configuration.revision, server: 'regina-1', zone: 'regina-hall' },
     ]),
   server: 'regina-1',
-  stateOf: (changeId) => {
+  lookUpChange: (changeId) => {
     const revision = committed.get(changeId);
     if (!isStoreReachable) return Promise.resolve({ kind: 'unresolved' });
     return Promise.resolve(
--- a/packages/daemon/src/operators/core-change-port.ts
+++ b/packages/daemon/src/operators/core-change-port.ts
@@ -36,7 +36,7 @@
     this.pendingProposals.delete(proposalId);
   }
 
-  public stateOf(changeId: string): Promise<ChangeState> {
+  public lookUpChange(changeId: string): Promise<ChangeState> {
     return new Promise((resolve) => {
       this.options.execute({ key: rootKey, kind: 'read' }, (result) => {
         resolve(changeStateOf(result, changeId));
--- a/packages/daemon/src/operators/core-node-view.ts
+++ b/packages/daemon/src/operators/core-node-view.ts
@@ -9,13 +9,13 @@
   NodeIdentity,
 } from '@peridotspring/core';
 import type {
-  BudgetUse,
+  BudgetUsage,
   KeyView,
   MemberView,
   NodeView,
-  PlatformUse,
+  PlatformStatus,
   Readiness,
-  TenantUse,
+  TenantUsage,
 } from '@peridotspring/operators';
 import type { PlatformStore } from '@peridotspring/platform';
 
@@ -33,7 +33,7 @@
  * platform client.
  */
 export class CoreNodeView implements NodeView {
-  private readonly pendingKeyQuestions = new Map<number, (command: KeyStateCommand) => void>();
+  private readonly pendingKeyLookups = new Map<number, (command: KeyStateCommand) => void>();
   private nextQuestionId = 1;
 
   public constructor(private readonly options: CoreNodeViewOptions) {}
@@ -61,7 +61,7 @@
     return this.options.core.subsystems.homes.statuses(this.options.clock());
   }
 
-  public tenantUse(): readonly TenantUse[] {
+  public tenantUsage(): readonly TenantUsage[] {
     const service = this.load()?.service;
     if (service === undefined) {
       return [];
@@ -74,7 +74,7 @@
     }));
   }
 
-  public budgets(): readonly BudgetUse[] {
+  public budgets(): readonly BudgetUsage[] {
     const { clock, core, keyRecordLimits } = this.options;
     const keyRecordUsage = core.subsystems.homes.recordUsage;
     const pollBudgetUse = core.pollBudget(clock());
@@ -104,7 +104,7 @@
     ];
   }
 
-  public platform(): PlatformUse {
+  public platformStatus(): PlatformStatus {
     const { core, store } = this.options;
     const { reads, unanswered, watches, writes } = store.counters;
     return {
@@ -112,8 +112,8 @@
       failedCalls: unanswered,
       lastAnswerAt: store.lastResponseAt,
       latencyMilliseconds: store.latencyMilliseconds,
-      reachable: store.isResponding,
-      watching: core.subsystems.membership.isBridge,
+      isReachable: store.isResponding,
+      isWatching: core.subsystems.membership.isBridge,
     };
   }
 
@@ -131,11 +131,11 @@
     return { causes, ready: causes.length === 0 };
   }
 
-  public key(service: string, key: string): Promise<KeyView | undefined> {
+  public findKey(service: string, key: string): Promise<KeyView | undefined> {
     const questionId = this.nextQuestionId;
     this.nextQuestionId += 1;
     return new Promise((resolve) => {
-      this.pendingKeyQuestions.set(questionId, ({ home, state, status }) => {
+      this.pendingKeyLookups.set(questionId, ({ home, state, status }) => {
         resolve(home === undefined || state === undefined ? undefined : { home, state, status });
       });
       this.options.deliver({ key, kind: 'ask-key', questionId, service });
@@ -144,7 +144,7 @@
 
   /** Handles the answer to a question about a key. */
   public onKeyKnown(command: KeyStateCommand): void {
-    this.pendingKeyQuestions.get(command.questionId)?.(command);
-    this.pendingKeyQuestions.delete(command.questionId);
+    this.pendingKeyLookups.get(command.questionId)?.(command);
+    this.pendingKeyLookups.delete(command.questionId);
   }
 }
--- a/packages/daemon/src/operators/gauges.ts
+++ b/packages/daemon/src/operators/gauges.ts
@@ -79,7 +79,7 @@
     {
       help: 'Calls of the platform since the start, waiting watches included.',
       name: 'platform_calls',
-      read: () => view.platform().calls,
+      read: () => view.platformStatus().calls,
     },
     ...['serving', 'warming', 'draining', 'suspect', 'dead', 'left'].map((state) => ({
       help: `Members in state ${state} as this node knows them.`,
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -48,7 +48,7 @@
 /** Handle of a started node. */
 export interface RunningNode {
   readonly callerPort: number;
-  /** Starts a planned stop; `NodeOptions.onStopped` is called once no request is in progress. */
+  /** Starts a graceful shutdown; `NodeOptions.onStopped` is called once no request is in progress. */
   stop(): void;
   close(): Promise<void>;
 }
@@ -312,7 +312,7 @@
         // Closing an idle connection is not an error, and a busy cluster closes many of them.
         const level = reason === 'idle' ? 'debug' : 'info';
         log[level](LogEvent.PeerLost, { detail, reason, server });
-        operatorParts.gatherer.peerLost(server);
+        operatorParts.gatherer.onPeerLost(server);
         driver().onPeerLost(server);
       },
       onConnectionRejected: (reason, detail) => {
@@ -372,7 +372,7 @@
   connections: NodeConnections,
 ): void {
   if (frame.kind === 'operator-answer') {
-    gatherer.answered(from.server, frame);
+    gatherer.onAnswer(from.server, frame);
     return;
   }
   const { question, questionId } = frame;
--- a/packages/operators/src/changes/apply-clauses.ts
+++ b/packages/operators/src/changes/apply-clauses.ts
@@ -6,21 +6,21 @@
   checkRange,
   maximumRequestKinds,
   maximumTenants,
-  nameForms,
+  namePatterns,
   ranges,
-  referenceFault,
+  createReferenceError,
   type NumberRange,
-} from './checks.js';
+} from './validation.js';
 
 type Clause<Kind extends ServiceClause['kind']> = Extract<ServiceClause, { kind: Kind }>;
 
-/** A service after a clause, with the faults found so far. */
+/** A service after a clause was applied, and the errors in the clause. */
 export interface AppliedService {
   readonly service: ServiceConfiguration;
-  readonly faults: readonly LanguageError[];
+  readonly errors: readonly LanguageError[];
 }
 
-function placeKind(
+function insertRequestKind(
   kinds: readonly RequestKind[],
   kind: RequestKind,
   before: Name | undefined,
@@ -35,17 +35,19 @@
 }
 
 function applyRequest(service: ServiceConfiguration, clause: Clause<'request'>): AppliedService {
-  const faults = [
-    ...checkName(clause.name, nameForms.requestName),
-    ...checkName(clause.method, nameForms.method),
-    ...checkName(clause.pathPrefix, nameForms.pathPrefix),
+  const errors = [
+    ...checkName(clause.name, namePatterns.requestName),
+    ...checkName(clause.method, namePatterns.method),
+    ...checkName(clause.pathPrefix, namePatterns.pathPrefix),
   ];
   const { before, name } = clause;
-  const isKnown = (wanted: string): boolean =>
+  const isOtherRequestKind = (wanted: string): boolean =>
     wanted !== name.text && service.requestKinds.some((kind) => kind.name === wanted);
-  if (before !== undefined && !isKnown(before.text)) {
-    faults.push(referenceFault(before, `request \`${before.text}\``, 'another request above it'));
-    return { faults, service };
+  if (before !== undefined && !isOtherRequestKind(before.text)) {
+    errors.push(
+      createReferenceError(before, `request \`${before.text}\``, 'another request above it'),
+    );
+    return { errors, service };
   }
   const kind: RequestKind = {
     method: clause.method.text,
@@ -53,17 +55,17 @@
     pathPrefix: clause.pathPrefix.text,
     requestClass: clause.requestClass,
   };
-  const requestKinds = placeKind(service.requestKinds, kind, before);
+  const requestKinds = insertRequestKind(service.requestKinds, kind, before);
   if (requestKinds.length > maximumRequestKinds) {
     const limit = `at most ${maximumRequestKinds} requests`;
-    faults.push(referenceFault(name, `${requestKinds.length} requests`, limit));
+    errors.push(createReferenceError(name, `${requestKinds.length} requests`, limit));
   }
-  return { faults, service: { ...service, requestKinds } };
+  return { errors, service: { ...service, requestKinds } };
 }
 
 function applyTenant(service: ServiceConfiguration, clause: Clause<'tenant'>): AppliedService {
-  const faults = [
-    ...checkName(clause.tenant, nameForms.tenant),
+  const errors = [
+    ...checkName(clause.tenant, namePatterns.tenant),
     ...checkRange(clause.weight, ranges.weight),
   ];
   const tenant = clause.tenant.text;
@@ -73,9 +75,9 @@
   ];
   if (tenants.length > maximumTenants) {
     const limit = `at most ${maximumTenants} tenants`;
-    faults.push(referenceFault(clause.tenant, `${tenants.length} tenants`, limit));
+    errors.push(createReferenceError(clause.tenant, `${tenants.length} tenants`, limit));
   }
-  return { faults, service: { ...service, tenants } };
+  return { errors, service: { ...service, tenants } };
 }
 
 function removeRequest(
@@ -85,8 +87,8 @@
   const requestKinds = service.requestKinds.filter((kind) => kind.name !== name.text);
   const isMissing = requestKinds.length === service.requestKinds.length;
   const found = `request \`${name.text}\``;
-  const faults = isMissing ? [referenceFault(name, found, 'a request of the service')] : [];
-  return { faults, service: { ...service, requestKinds } };
+  const errors = isMissing ? [createReferenceError(name, found, 'a request of the service')] : [];
+  return { errors, service: { ...service, requestKinds } };
 }
 
 function removeTenant(
@@ -96,8 +98,8 @@
   const tenants = service.tenants.filter((share) => share.tenant !== tenant.text);
   const isMissing = tenants.length === service.tenants.length;
   const found = `tenant \`${tenant.text}\``;
-  const faults = isMissing ? [referenceFault(tenant, found, 'a tenant with a weight')] : [];
-  return { faults, service: { ...service, tenants } };
+  const errors = isMissing ? [createReferenceError(tenant, found, 'a tenant with a weight')] : [];
+  return { errors, service: { ...service, tenants } };
 }
 
 type NumberField = {
@@ -112,12 +114,12 @@
   quantity: Quantity,
   range: NumberRange,
 ): AppliedService {
-  return { faults: checkRange(quantity, range), service: { ...service, [field]: quantity.value } };
+  return { errors: checkRange(quantity, range), service: { ...service, [field]: quantity.value } };
 }
 
 type BoundField = 'maximumBodyBytes' | 'maximumTenantInFlight' | 'queueLength';
 
-/** Sets a bound, or lifts it by leaving the field out. */
+/** Sets a limit, or removes it by deleting the field if there is no quantity. */
 function setBound(
   service: ServiceConfiguration,
   field: BoundField,
@@ -126,13 +128,13 @@
 ): AppliedService {
   if (quantity !== undefined) {
     return {
-      faults: checkRange(quantity, range),
+      errors: checkRange(quantity, range),
       service: { ...service, [field]: quantity.value },
     };
   }
   const unbounded = { ...service };
   Reflect.deleteProperty(unbounded, field);
-  return { faults: [], service: unbounded };
+  return { errors: [], service: unbounded };
 }
 
 /** Applies one clause to a service. */
@@ -149,7 +151,7 @@
     case 'remove-tenant':
       return removeTenant(service, clause);
     case 'hedging':
-      return { faults: [], service: { ...service, hedging: clause.enabled } };
+      return { errors: [], service: { ...service, hedging: clause.enabled } };
     case 'default-deadline':
       return set('defaultDeadlineMilliseconds', clause.milliseconds, ranges.defaultDeadline);
     case 'maximum-deadline':
--- a/packages/operators/src/changes/apply-commands.ts
+++ b/packages/operators/src/changes/apply-commands.ts
@@ -6,13 +6,13 @@
 import type { Command, LanguageError, Name, ServiceClause } from '@peridotspring/language/text';
 
 import { applyClause } from './apply-clauses.js';
-import { checkName, nameForms, referenceFault } from './checks.js';
+import { checkName, namePatterns, createReferenceError } from './validation.js';
 import { findService } from './find-service.js';
-import { differenceOf, type ConfigurationDifference } from './difference.js';
+import { diffConfigurations, type ConfigurationDifference } from './difference.js';
 
 /**
- * The configuration after the commands. Its revision is still that of the base: the number of the new
- * revision is decided where the change is committed.
+ * The result of applying commands. The configuration keeps the revision of the base, because the new
+ * revision is assigned when the change is committed.
  */
 export type ApplyResult =
   | {
@@ -20,11 +20,11 @@
       readonly configuration: Configuration;
       readonly difference: readonly ConfigurationDifference[];
     }
-  | { readonly kind: 'invalid'; readonly faults: readonly LanguageError[] };
+  | { readonly kind: 'invalid'; readonly errors: readonly LanguageError[] };
 
-interface Step {
+interface CommandResult {
   readonly configuration: Configuration;
-  readonly faults: readonly LanguageError[];
+  readonly errors: readonly LanguageError[];
 }
 
 function withService(configuration: Configuration, service: ServiceConfiguration): Configuration {
@@ -39,42 +39,42 @@
   start: ServiceConfiguration,
   name: Name,
   clauses: readonly ServiceClause[],
-): Step {
-  const faults: LanguageError[] = [];
+): CommandResult {
+  const errors: LanguageError[] = [];
   let service = start;
   for (const clause of clauses) {
     const applied = applyClause(service, clause);
     service = applied.service;
-    faults.push(...applied.faults);
+    errors.push(...applied.errors);
   }
   const { defaultDeadlineMilliseconds, maximumDeadlineMilliseconds } = service;
   if (defaultDeadlineMilliseconds > maximumDeadlineMilliseconds) {
     const found = `deadline default ${defaultDeadlineMilliseconds} ms of service \`${name.text}\``;
     const limit = `at most its deadline maximum of ${maximumDeadlineMilliseconds} ms`;
-    faults.push(referenceFault(name, found, limit));
+    errors.push(createReferenceError(name, found, limit));
   }
-  return { configuration: withService(configuration, service), faults };
+  return { configuration: withService(configuration, service), errors };
 }
 
-function unknownService(name: Name): LanguageError {
-  return referenceFault(name, `service \`${name.text}\``, 'a declared service');
+function createUnknownServiceError(name: Name): LanguageError {
+  return createReferenceError(name, `service \`${name.text}\``, 'a declared service');
 }
 
-function removeService(configuration: Configuration, name: Name): Step {
+function removeService(configuration: Configuration, name: Name): CommandResult {
   if (findService(configuration, name.text) === undefined) {
-    return { configuration, faults: [unknownService(name)] };
+    return { configuration, errors: [createUnknownServiceError(name)] };
   }
   const services = Object.fromEntries(
     Object.entries(configuration.services).filter(([service]) => service !== name.text),
   );
-  return { configuration: { ...configuration, services }, faults: [] };
+  return { configuration: { ...configuration, services }, errors: [] };
 }
 
-function withName(names: readonly string[], name: string): readonly string[] {
+function addName(names: readonly string[], name: string): readonly string[] {
   return names.includes(name) ? names : [...names, name].sort();
 }
 
-function withoutName(names: readonly string[], name: string): readonly string[] {
+function removeName(names: readonly string[], name: string): readonly string[] {
   return names.filter((other) => other !== name);
 }
 
@@ -83,28 +83,29 @@
   name: Name,
   field: 'drainedAvailabilityZones' | 'drainedServers',
   isDrained: boolean,
-): Step {
-  const change = isDrained ? withName : withoutName;
+): CommandResult {
+  const change = isDrained ? addName : removeName;
   return {
     configuration: { ...configuration, [field]: change(configuration[field], name.text) },
-    faults: checkName(name, nameForms.server),
+    errors: checkName(name, namePatterns.server),
   };
 }
 
-function applyCommand(configuration: Configuration, command: Command): Step {
+function applyCommand(configuration: Configuration, command: Command): CommandResult {
   switch (command.kind) {
     case 'declare-service': {
       const { clauses, service } = command;
-      const nameFaults = checkName(service, nameForms.service);
-      if (nameFaults.length > 0) return { configuration, faults: nameFaults };
-      // A declaration says everything of a service: what it leaves out gets its default.
+      const nameErrors = checkName(service, namePatterns.service);
+      if (nameErrors.length > 0) return { configuration, errors: nameErrors };
+      // A declaration replaces the whole service: what it omits gets its default.
       const start = { ...serviceDefaults, name: service.text };
       return applyClauses(configuration, start, service, clauses);
     }
     case 'change-service': {
       const { clauses, service } = command;
       const start = findService(configuration, service.text);
-      if (start === undefined) return { configuration, faults: [unknownService(service)] };
+      if (start === undefined)
+        return { configuration, errors: [createUnknownServiceError(service)] };
       return applyClauses(configuration, start, service, clauses);
     }
     case 'remove-service':
@@ -120,15 +121,15 @@
   }
 }
 
-/** Applies commands in order, as one change. Faults of all commands are reported together. */
+/** Applies commands in order, as one change. Errors in all commands are reported together. */
 export function applyCommands(base: Configuration, commands: readonly Command[]): ApplyResult {
-  const faults: LanguageError[] = [];
+  const errors: LanguageError[] = [];
   let configuration = base;
   for (const command of commands) {
-    const step = applyCommand(configuration, command);
-    configuration = step.configuration;
-    faults.push(...step.faults);
+    const result = applyCommand(configuration, command);
+    configuration = result.configuration;
+    errors.push(...result.errors);
   }
-  if (faults.length > 0) return { faults, kind: 'invalid' };
-  return { configuration, difference: differenceOf(base, configuration), kind: 'applied' };
+  if (errors.length > 0) return { errors, kind: 'invalid' };
+  return { configuration, difference: diffConfigurations(base, configuration), kind: 'applied' };
 }
--- a/packages/operators/src/changes/difference.ts
+++ b/packages/operators/src/changes/difference.ts
@@ -6,9 +6,9 @@
 /** One line of the difference between two configurations. */
 export interface ConfigurationDifference {
   readonly change: 'added' | 'removed' | 'reordered';
-  /** `service antrag`, `server regina-1` or `zone thun-c`. */
+  /** Kind and name of the object, such as `service antrag`, `server regina-1` or `zone thun-c`. */
   readonly object: string;
-  /** The clause of a service, or `drained`. */
+  /** A clause of the service, or `drained` for a server or zone. */
   readonly clause: string;
 }
 
@@ -33,7 +33,7 @@
     ...added.map((clause) => ({ change: 'added' as const, clause, object })),
   ];
   const kept = before.filter((clause) => after.includes(clause)).join('\n');
-  // The order of requests decides which of them matches first, so a new order is a change.
+  // The first matching request kind applies, so a different order is a change.
   if (kept !== after.filter((clause) => before.includes(clause)).join('\n')) {
     difference.push({ change: 'reordered', clause: 'order of the clauses', object });
   }
@@ -55,8 +55,8 @@
   );
 }
 
-/** What differs between two configurations, apart from the revision. */
-export function differenceOf(
+/** Lists the differences between two configurations, ignoring their revisions. */
+export function diffConfigurations(
   before: Configuration,
   after: Configuration,
 ): readonly ConfigurationDifference[] {
--- a/packages/operators/src/changes/find-service.ts
+++ b/packages/operators/src/changes/find-service.ts
@@ -1,6 +1,6 @@
 import type { Configuration, ServiceConfiguration } from '@peridotspring/core';
 
-/** Finds a declared service. A plain index would find `constructor`, which every object inherits. */
+/** Finds a declared service. Plain indexing would also find inherited members such as `constructor`. */
 export function findService(
   configuration: Configuration,
   name: string,
--- a/packages/operators/src/changes/checks.ts
+++ b/packages/operators/src/changes/validation.ts
@@ -5,59 +5,62 @@
   type Quantity,
 } from '@peridotspring/language/text';
 
-/** Range of a number in a service's configuration. */
+/** Allowed range of a number in the configuration of a service. */
 export interface NumberRange {
   readonly field: string;
   readonly unit: string;
   readonly minimum: number;
   readonly maximum: number;
-  /** Whether fractions are refused. */
-  readonly integer?: boolean;
+  /** Whether the number has to be an integer. */
+  readonly isInteger?: boolean;
 }
 
 function range(field: string, unit: string, minimum: number, maximum: number): NumberRange {
   return { field, maximum, minimum, unit };
 }
 
-function integers(field: string, unit: string, minimum: number, maximum: number): NumberRange {
-  return { field, integer: true, maximum, minimum, unit };
+function integerRange(field: string, unit: string, minimum: number, maximum: number): NumberRange {
+  return { field, isInteger: true, maximum, minimum, unit };
 }
 
-/** Ranges of every number that an operator can set. */
+/** Allowed ranges of all numbers that an operator can set. */
 export const ranges = {
-  // The entry refuses longer deadlines, so that no request outlives the lease of its key by minutes.
+  // The entry refuses longer deadlines, so that no request outlives the lease on its key by minutes.
   defaultDeadline: range('deadline default', 'ms', 1, 60_000),
   maximumDeadline: range('deadline maximum', 'ms', 1, 60_000),
-  // Above the slot-time share of 0.1 measuring would take more than a slot in ten.
+  // Above a share of 0.1, probes would use more than one slot in ten.
   probeBudget: range('probe budget', 'of the slot-time', 0, 0.1),
-  body: integers('body maximum', 'bytes', 0, 1_073_741_824),
-  // Waiting requests hold their bodies in the server's memory.
-  queue: integers('queue maximum', 'requests at a server', 0, 1_000),
-  tenantInFlight: integers('tenant-in-flight maximum', 'requests at a server', 1, 10_000),
+  body: integerRange('body maximum', 'bytes', 0, 1_073_741_824),
+  // Queued requests hold their bodies in the memory of the server.
+  queue: integerRange('queue maximum', 'requests at a server', 0, 1_000),
+  tenantInFlight: integerRange('tenant-in-flight maximum', 'requests at a server', 1, 10_000),
   ramp: range('ramp', 'ms', 0, 600_000),
-  // A ratio above 1 lets retries outnumber successes and amplifies an overload.
+  // With a ratio above 1, retries could outnumber successes and would amplify an overload.
   retryBudgetRatio: range('retry budget ratio', 'tokens per success', 0, 1),
   retryBudgetMaximum: range('retry budget maximum', 'tokens', 0, 1_000),
   weight: range('weight', 'relative to other tenants', 0.001, 1_000),
 } as const;
 
-/** Bounds that keep a service's value below the platform's 1 MB and its root page small. */
+/**
+ * Limit of the request kinds of a service. Together with the limits below, it keeps the stored service
+ * below the store's 1 MB for a value, and the root page small.
+ */
 export const maximumRequestKinds = 300;
-/** Tenants of a service with a weight. */
+/** Limit of the tenants with a weight in a service. */
 export const maximumTenants = 1_000;
-/** Characters of a path prefix. */
+/** Limit of the length of a path prefix, in characters. */
 export const maximumPathPrefixLength = 512;
 
-/** Form of a name, with its description for errors. */
-export interface NameForm {
+/** Pattern that a name has to match, and its description for error messages. */
+export interface NamePattern {
   readonly field: string;
   readonly pattern: RegExp;
   readonly description: string;
 }
 
-/** Forms of every name that an operator can set. */
-export const nameForms = {
-  // A service is a segment of the caller's URL and of the store's keys.
+/** Patterns of all names that an operator can set. */
+export const namePatterns = {
+  // The service name is a segment of the URLs of callers and of keys in the store.
   service: {
     description: '1 to 63 letters, digits and hyphens, starting with a letter or a digit',
     field: 'service name',
@@ -88,14 +91,14 @@
     field: 'tenant name',
     pattern: /^[\x21-\x7e]{1,128}$/,
   },
-} as const satisfies Readonly<Record<string, NameForm>>;
+} as const satisfies Readonly<Record<string, NamePattern>>;
 
 /** Checks a number against its range. */
 export function checkRange(quantity: Quantity, allowed: NumberRange): readonly LanguageError[] {
   const { value } = quantity;
-  const isWhole = allowed.integer !== true || Number.isInteger(value);
+  const isWhole = allowed.isInteger !== true || Number.isInteger(value);
   if (isWhole && value >= allowed.minimum && value <= allowed.maximum) return [];
-  const noun = allowed.integer === true ? 'a whole number' : 'a value';
+  const noun = allowed.isInteger === true ? 'a whole number' : 'a value';
   return [
     createLanguageError({
       ...quantity.position,
@@ -105,19 +108,19 @@
   ];
 }
 
-/** Checks a name against its form. */
-export function checkName(name: Name, form: NameForm): readonly LanguageError[] {
-  if (form.pattern.test(name.text)) return [];
+/** Checks a name against its pattern. */
+export function checkName(name: Name, namePattern: NamePattern): readonly LanguageError[] {
+  if (namePattern.pattern.test(name.text)) return [];
   return [
     createLanguageError({
       ...name.position,
-      expected: [form.description],
-      found: `${form.field} ${JSON.stringify(name.text)}`,
+      expected: [namePattern.description],
+      found: `${namePattern.field} ${JSON.stringify(name.text)}`,
     }),
   ];
 }
 
-/** A fault in what a name refers to. */
-export function referenceFault(name: Name, found: string, expected: string): LanguageError {
+/** Creates an error about the object that a name refers to. */
+export function createReferenceError(name: Name, found: string, expected: string): LanguageError {
   return createLanguageError({ ...name.position, expected: [expected], found });
 }
--- a/packages/operators/src/changes/wait-in-force.ts
+++ b/packages/operators/src/changes/wait-in-force.ts
@@ -4,42 +4,45 @@
 import type { OperatorBackend } from '../operator-backend.js';
 import type { InForceResult } from '../results.js';
 
-/** Time within which a change is in force everywhere. */
+/** Default waiting time, within which a change is normally in force on every node. */
 export const defaultWaitMilliseconds = 6_000;
-/** A longer wait would hold the operator's connection open for too long. */
+/** Longest waiting time, so that the connection of the operator is not held open for too long. */
 export const maximumWaitMilliseconds = 60_000;
 
-const roundDeadlineMilliseconds = 1_000;
-const pauseMilliseconds = 100;
+const surveyDeadlineMilliseconds = 1_000;
+const surveyIntervalMilliseconds = 100;
 
-/** Nodes named in a result of each kind; the counts are exact. */
+/** Limit of the lacking and of the missing nodes named in a result. The counts are exact. */
 const maximumNames = 100;
 
 function isComplete(survey: ZoneSurvey): boolean {
   return survey.lacking.count === 0 && survey.missing.count === 0;
 }
 
-/** Asks the zones with nodes that lack the revision again, until none does or the time is over. */
+/**
+ * Waits until a revision is in force on every node or the time is over. Surveys again the zones in
+ * which members lack the revision or did not answer.
+ */
 export async function waitInForce(
   backend: OperatorBackend,
   revision: number,
   upToMilliseconds: number = defaultWaitMilliseconds,
 ): Promise<InForceResult> {
-  const endsAt = performance.now() + Math.min(upToMilliseconds, maximumWaitMilliseconds);
+  const deadlineAt = performance.now() + Math.min(upToMilliseconds, maximumWaitMilliseconds);
   let availabilityZones: ReadonlySet<string> | undefined;
   for (;;) {
-    const remaining = Math.max(1, endsAt - performance.now());
-    const deadlineMilliseconds = Math.min(roundDeadlineMilliseconds, remaining);
+    const remainingMilliseconds = Math.max(1, deadlineAt - performance.now());
+    const deadlineMilliseconds = Math.min(surveyDeadlineMilliseconds, remainingMilliseconds);
     const surveys = await backend.survey({ revision, deadlineMilliseconds, availabilityZones });
-    const open = [...surveys].filter(([, survey]) => !isComplete(survey));
-    const everywhere = open.length === 0;
-    if (everywhere || performance.now() + pauseMilliseconds >= endsAt) {
+    const incomplete = [...surveys].filter(([, survey]) => !isComplete(survey));
+    const everywhere = incomplete.length === 0;
+    if (everywhere || performance.now() + surveyIntervalMilliseconds >= deadlineAt) {
       const lacking = sumTallies(
-        open.map(([, survey]) => survey.lacking),
+        incomplete.map(([, survey]) => survey.lacking),
         maximumNames,
       );
       const missing = sumTallies(
-        open.map(([, survey]) => survey.missing),
+        incomplete.map(([, survey]) => survey.missing),
         maximumNames,
       );
       return {
@@ -52,9 +55,9 @@
         revision,
       };
     }
-    // Revisions never fall, so a zone in which every member has it need not be asked again. A node that
-    // has died meanwhile takes the newest revision when it comes back.
-    availabilityZones = new Set(open.map(([zone]) => zone));
-    await sleep(pauseMilliseconds);
+    // Revisions never decrease, so a zone in which every member has the revision is not surveyed again.
+    // A node that dies in the meantime loads the newest revision when it restarts.
+    availabilityZones = new Set(incomplete.map(([zone]) => zone));
+    await sleep(surveyIntervalMilliseconds);
   }
 }
--- a/packages/operators/src/changes/warnings.ts
+++ b/packages/operators/src/changes/warnings.ts
@@ -1,13 +1,13 @@
 import type { Configuration } from '@peridotspring/core';
 
 import type { MemberView } from '../node-view.js';
-import { isDrained, liveMembers } from '../questions/drained.js';
+import { isDrained, liveMembers } from '../questions/member-status.js';
 
 /**
- * Warnings about a change that is valid and may still be a mistake: a drain of a name that no member
- * has, and a service that is left without a server.
+ * Warns about valid changes that are probably mistakes: draining a server or zone that no live member
+ * belongs to, and leaving a service without a server.
  */
-export function warningsOf(
+export function findWarnings(
   before: Configuration,
   after: Configuration,
   members: readonly MemberView[],
@@ -20,7 +20,7 @@
     (name) => !before.drainedAvailabilityZones.includes(name),
   );
   const services = [...new Set(live.map(({ service }) => service))].sort();
-  const emptied = services.filter((service): service is string => {
+  const unservedServices = services.filter((service): service is string => {
     const ofService = live.filter((member) => member.service === service);
     const isServed = (configuration: Configuration): boolean =>
       ofService.some((member) => !isDrained(configuration, member));
@@ -29,10 +29,12 @@
   return [
     ...newServers
       .filter((name) => !servers.has(name))
-      .map((name) => `no live member is called ${name}`),
+      .map((name) => `no live member is named ${name}`),
     ...newZones
       .filter((name) => !zones.has(name))
       .map((name) => `no live member is in the zone ${name}`),
-    ...emptied.map((service) => `service ${service} is left without a server that takes new work`),
+    ...unservedServices.map(
+      (service) => `service ${service} is left without a server that takes new work`,
+    ),
   ];
 }
--- a/packages/operators/src/gathering/gather-clock.ts
+++ b/packages/operators/src/gathering/gather-clock.ts
@@ -1,12 +1,12 @@
-/** The time that gathering runs on; a simulation supplies its own. */
+/** Clock and timers for asking other nodes. A simulation supplies its own. */
 export interface GatherClock {
   /** Monotonic time in milliseconds. */
   now(): number;
-  /** Runs the action once after the delay; the returned function prevents that. */
+  /** Runs an action once after a delay. The returned function cancels it. */
   after(milliseconds: number, action: () => void): () => void;
 }
 
-/** The process's own monotonic clock and timers. */
+/** The monotonic clock and the timers of the process. */
 export const systemGatherClock: GatherClock = {
   now: () => performance.now(),
   after: (milliseconds, action) => {
--- a/packages/operators/src/gathering/parse-json.ts
+++ b/packages/operators/src/gathering/parse-json.ts
@@ -1,4 +1,4 @@
-/** Parses JSON text; undefined for any other text. */
+/** Parses JSON; undefined if the text is malformed. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
--- a/packages/operators/src/gathering/peer-gatherer.ts
+++ b/packages/operators/src/gathering/peer-gatherer.ts
@@ -9,151 +9,156 @@
 import type { Row } from '../questions/rows.js';
 import { systemGatherClock, type GatherClock } from './gather-clock.js';
 import {
-  decodeAnswer,
-  encodeQuestion,
+  decodeNodeAnswer,
+  encodeNodeQuestion,
   type NodeAnswer,
   type NodeQuestion,
 } from './node-question.js';
 
 /**
- * Questions that wait for an answer at once. It bounds the connections that a question to every node
- * of a large fleet opens at a time.
+ * Nodes that are asked concurrently for one question. It limits the connections that a question to
+ * every node of a large cluster opens at once.
  */
-export const gatheringConcurrency = 128;
+export const maximumConcurrentQuestions = 128;
 
-/** Sends questions to other nodes; the wiring implements it with the connections between nodes. */
+/** Sends questions to other nodes. The daemon implements it with the connections between nodes. */
 export interface PeerTransport {
-  /** Servers of all live members but this node. */
+  /** Servers of all live members except this node. */
   servers(): readonly string[];
-  /** Sends the frame, connecting first if need be. False when that is known to be impossible. */
+  /** Sends the frame, connecting first if necessary. False if the server is known to be unreachable. */
   send(server: string, frame: OperatorQuestionFrame): boolean;
 }
 
-const largestFirstQuestionId = 2 ** 40;
+const firstQuestionIdLimit = 2 ** 40;
 
 interface PendingQuestion {
   readonly server: string;
-  conclude(reply: PeerReply): void;
+  settle(reply: PeerReply): void;
 }
 
-/** The payload of a node's answer, or why there is none. */
+/** The payload of a node's answer, or the cause of its absence. */
 export type PeerReply =
   | { readonly kind: 'answer'; readonly payload: string }
   | { readonly kind: 'failed'; readonly cause: string };
 
-/** One question to many nodes, while it is being asked. */
-interface Gathering {
+/** The state of a question that is being sent to many nodes. */
+interface GatherOperation {
   readonly payload: string;
   readonly deadlineMilliseconds: number;
-  readonly endsAt: number;
-  readonly waiting: string[];
+  readonly deadlineAt: number;
+  readonly unaskedServers: string[];
   readonly rows: Row[];
   readonly revisions: NodeRevision[];
   readonly missing: MissingNode[];
 }
 
-/** Asks other nodes with a deadline and names those that did not answer. */
+/** Asks other nodes a question with a deadline, and reports the nodes that did not answer. */
 export class PeerGatherer {
   private readonly pending = new Map<number, PendingQuestion>();
-  /** Random, so that a late answer to an earlier life of this node is not taken for one of this life. */
-  private nextQuestionId = Math.floor(Math.random() * largestFirstQuestionId);
+  /** Starts at random, so that a late answer to an earlier incarnation of this node matches no question. */
+  private nextQuestionId = Math.floor(Math.random() * firstQuestionIdLimit);
 
   public constructor(
     private readonly transport: PeerTransport,
     public readonly clock: GatherClock = systemGatherClock,
   ) {}
 
-  /** Servers of all live members but this node. */
+  /** Servers of all live members except this node. */
   public servers(): readonly string[] {
     return this.transport.servers();
   }
 
-  /** Asks other nodes a question. Never rejects. */
+  /** Asks other nodes a question and collects their rows. Never rejects. */
   public async gather(question: NodeQuestion, options: GatherOptions): Promise<GatheredRows> {
     const { deadlineMilliseconds } = options;
-    const gathering: Gathering = {
+    const operation: GatherOperation = {
       deadlineMilliseconds,
-      endsAt: this.clock.now() + deadlineMilliseconds,
+      deadlineAt: this.clock.now() + deadlineMilliseconds,
       missing: [],
-      payload: encodeQuestion(question),
+      payload: encodeNodeQuestion(question),
       revisions: [],
       rows: [],
-      waiting: [...(options.servers ?? this.transport.servers())],
+      unaskedServers: [...(options.servers ?? this.transport.servers())],
     };
     const workers = Array.from(
-      { length: Math.min(gatheringConcurrency, gathering.waiting.length) },
-      () => this.work(gathering),
+      { length: Math.min(maximumConcurrentQuestions, operation.unaskedServers.length) },
+      () => this.askUnaskedServers(operation),
     );
     await Promise.all(workers);
-    return { missing: gathering.missing, revisions: gathering.revisions, rows: gathering.rows };
+    return { missing: operation.missing, revisions: operation.revisions, rows: operation.rows };
   }
 
-  /** Takes an answer; one that came too late is dropped. */
-  public answered(from: string, frame: OperatorAnswerFrame): void {
+  /** Handles an answer; an answer that arrives after its deadline is dropped. */
+  public onAnswer(from: string, frame: OperatorAnswerFrame): void {
     const question = this.pending.get(frame.questionId);
-    // Only the server that was asked may answer.
-    if (question?.server === from) question.conclude({ kind: 'answer', payload: frame.answer });
+    // Answers from any server other than the one asked are ignored.
+    if (question?.server === from) question.settle({ kind: 'answer', payload: frame.answer });
   }
 
-  /** The connection to a server was lost: its answers will not come. */
-  public peerLost(server: string): void {
+  /** Handles the loss of the connection to a server: its pending questions fail. */
+  public onPeerLost(server: string): void {
     for (const question of [...this.pending.values()]) {
       if (question.server === server) {
-        question.conclude({ cause: 'connection lost', kind: 'failed' });
+        question.settle({ cause: 'connection lost', kind: 'failed' });
       }
     }
   }
 
-  /** Ends every question in progress. */
+  /** Fails all pending questions. */
   public close(): void {
     for (const question of [...this.pending.values()]) {
-      question.conclude({ cause: 'the node that was asked stops', kind: 'failed' });
+      question.settle({ cause: 'the node that received the query is stopping', kind: 'failed' });
     }
   }
 
-  private async work(gathering: Gathering): Promise<void> {
-    for (let server = gathering.waiting.shift(); server !== undefined;) {
-      const answer = await this.ask(server, gathering);
+  private async askUnaskedServers(operation: GatherOperation): Promise<void> {
+    for (let server = operation.unaskedServers.shift(); server !== undefined;) {
+      const answer = await this.ask(server, operation);
       if (answer.kind === 'rows') {
-        gathering.rows.push(...answer.rows);
-        gathering.revisions.push({ revision: answer.revision, server });
+        operation.rows.push(...answer.rows);
+        operation.revisions.push({ revision: answer.revision, server });
       } else {
-        gathering.missing.push({ cause: answer.cause, server });
+        operation.missing.push({ cause: answer.cause, server });
       }
-      server = gathering.waiting.shift();
+      server = operation.unaskedServers.shift();
     }
   }
 
-  private async ask(server: string, gathering: Gathering): Promise<NodeAnswer> {
-    const { deadlineMilliseconds, endsAt, payload } = gathering;
-    const remaining = endsAt - this.clock.now();
-    const reply = await this.exchange(server, payload, remaining, deadlineMilliseconds);
-    return reply.kind === 'answer' ? decodeAnswer(reply.payload) : reply;
+  private async ask(server: string, operation: GatherOperation): Promise<NodeAnswer> {
+    const { deadlineMilliseconds, deadlineAt, payload } = operation;
+    const remainingMilliseconds = deadlineAt - this.clock.now();
+    const reply = await this.exchange(server, payload, remainingMilliseconds, deadlineMilliseconds);
+    return reply.kind === 'answer' ? decodeNodeAnswer(reply.payload) : reply;
   }
 
-  /** Sends one question to one node and waits for its answer. Never rejects. */
+  /**
+   * Sends one question to one node and waits for its answer. Never rejects.
+   *
+   * @param remainingMilliseconds Time after which the question fails.
+   * @param reportedMilliseconds Time that the failure message states, such as the deadline of the query.
+   */
   public exchange(
     server: string,
     payload: string,
-    remaining: number,
-    statedMilliseconds = remaining,
+    remainingMilliseconds: number,
+    reportedMilliseconds = remainingMilliseconds,
   ): Promise<PeerReply> {
-    const cause = `no answer within ${Math.round(statedMilliseconds)} ms`;
-    if (remaining <= 0) return Promise.resolve({ cause, kind: 'failed' });
+    const cause = `no answer within ${Math.round(reportedMilliseconds)} ms`;
+    if (remainingMilliseconds <= 0) return Promise.resolve({ cause, kind: 'failed' });
     const questionId = this.nextQuestionId;
     this.nextQuestionId += 1;
     return new Promise((resolve) => {
-      const conclude = (reply: PeerReply): void => {
+      const settle = (reply: PeerReply): void => {
         cancelTimer();
         this.pending.delete(questionId);
         resolve(reply);
       };
-      const cancelTimer = this.clock.after(remaining, () => {
-        conclude({ cause, kind: 'failed' });
+      const cancelTimer = this.clock.after(remainingMilliseconds, () => {
+        settle({ cause, kind: 'failed' });
       });
-      this.pending.set(questionId, { conclude, server });
+      this.pending.set(questionId, { settle, server });
       const frame = { kind: 'operator-question', question: payload, questionId } as const;
-      if (!this.transport.send(server, frame)) conclude({ cause: 'unreachable', kind: 'failed' });
+      if (!this.transport.send(server, frame)) settle({ cause: 'unreachable', kind: 'failed' });
     });
   }
 }
--- a/packages/operators/src/gathering/statement-check.ts
+++ b/packages/operators/src/gathering/statement-guards.ts
@@ -56,7 +56,7 @@
   return isObject(value) && isName(value.field) && typeof value.descending === 'boolean';
 }
 
-/** Whether other nodes are asked this question; the rest is answered by the node that is asked. */
+/** Whether nodes ask each other this question; the others are answered by the node that receives the query. */
 function isGatheredQuestion(value: unknown): value is Question {
   if (!isObject(value)) return false;
   switch (value.kind) {
@@ -78,7 +78,7 @@
   }
 }
 
-/** Whether what another node sent is a question that nodes ask each other. */
+/** Whether a value received from another node is a well-formed question that nodes ask each other. */
 export function isGatheredStatement(value: unknown): value is QuestionStatement {
   if (!isObject(value) || value.kind !== 'question') return false;
   const { conditions, limit, order, question } = value;
--- a/packages/operators/src/gathering/zone-question.ts
+++ b/packages/operators/src/gathering/zone-question.ts
@@ -3,47 +3,47 @@
 import type { MissingNode, NodeRevision } from '../operator-backend.js';
 import { parseJson } from './parse-json.js';
 
-/** Names in one zone's answer; the counts beside them are exact. */
+/** Limit of the nodes named in one zone's answer. The counts next to the names are exact. */
 export const maximumNamesPerZone = 50;
 
-/** An exact count, and some of what was counted. */
+/** The exact number of items, and the first of them. */
 export interface Tally<Item> {
   readonly count: number;
   readonly named: readonly Item[];
 }
 
-/** Which members of one availability zone do not have a revision, as far as is known. */
+/** The members of one availability zone that do not have a revision or did not answer. */
 export interface ZoneSurvey {
-  /** Members that were counted; each of them has the revision, lacks it or did not answer. */
+  /** Members that were asked. Each of them has the revision, lacks it or did not answer. */
   readonly members: number;
   readonly lacking: Tally<NodeRevision>;
   readonly missing: Tally<MissingNode>;
 }
 
-/** Asks a member to find out which members of its availability zone have a revision. */
+/** Asks a member which members of its availability zone do not have a revision. */
 export interface ZoneQuestion {
   readonly kind: 'zone-revision';
   readonly revision: number;
   readonly deadlineMilliseconds: number;
-  /** Digest of the zone's live members as the asking node knows them. */
+  /** Digest of the live members of the zone that are known to the asking node. */
   readonly digest: string;
-  /** The members themselves, once both nodes have been found to know different ones. */
+  /** These members themselves; sent after the answer `members-differ`. */
   readonly servers?: readonly string[] | undefined;
 }
 
-/** What a member answers to a `ZoneQuestion`. */
+/** The answer of a member to a `ZoneQuestion`. */
 export type ZoneAnswer =
   | (ZoneSurvey & { readonly kind: 'zone-survey' })
-  /** The member knows other live members than the asking node, which has to name them. */
+  /** The member knows a different set of live members; the asking node has to send its own set. */
   | { readonly kind: 'members-differ' }
   | { readonly kind: 'failed'; readonly cause: string };
 
-/** Counts all items and keeps the first ones. */
+/** Counts all items and keeps the first `maximum` of them. */
 export function tally<Item>(items: readonly Item[], maximum = maximumNamesPerZone): Tally<Item> {
   return { count: items.length, named: items.slice(0, maximum) };
 }
 
-/** Adds up tallies and keeps at most `maximum` items. */
+/** Adds up the counts of tallies and keeps at most `maximum` items. */
 export function sumTallies<Item>(tallies: readonly Tally<Item>[], maximum: number): Tally<Item> {
   return {
     count: tallies.reduce((sum, { count }) => sum + count, 0),
@@ -51,7 +51,7 @@
   };
 }
 
-/** Digest of a set of servers, whatever their order. */
+/** Digest of a set of servers, independent of their order. */
 export function digestOf(servers: readonly string[]): string {
   return createHash('sha256')
     .update(JSON.stringify([...servers].sort()))
@@ -59,9 +59,9 @@
     .slice(0, 22);
 }
 
-/** Reads the payload of an `operator-question` frame; undefined for any other question. */
+/** Decodes the payload of an `operator-question` frame; undefined if it is no zone question. */
 export function decodeZoneQuestion(payload: string): ZoneQuestion | undefined {
-  const fields = fieldsOf(payload);
+  const fields = parseFields(payload);
   const { kind, revision, deadlineMilliseconds, digest, servers } = fields;
   if (kind !== 'zone-revision' || typeof digest !== 'string') return undefined;
   if (!isCount(revision) || typeof deadlineMilliseconds !== 'number') return undefined;
@@ -69,14 +69,14 @@
   return { kind, revision, deadlineMilliseconds, digest, servers };
 }
 
-/** Reads the payload of the `operator-answer`. Counts that do not add up make it malformed. */
+/** Decodes the payload of an `operator-answer` frame. An answer with inconsistent counts is malformed. */
 export function decodeZoneAnswer(payload: string): ZoneAnswer {
-  const { kind, cause, members, lacking, missing } = fieldsOf(payload);
+  const { kind, cause, members, lacking, missing } = parseFields(payload);
   if (kind === 'members-differ') return { kind };
   if (kind === 'failed' && typeof cause === 'string') return { kind, cause };
   if (kind === 'zone-survey' && isCount(members)) {
-    const lackingNodes = tallyOf(lacking, isNodeRevision);
-    const missingNodes = tallyOf(missing, isMissingNode);
+    const lackingNodes = parseTally(lacking, isNodeRevision);
+    const missingNodes = parseTally(missing, isMissingNode);
     if (lackingNodes !== undefined && missingNodes !== undefined) {
       const { count } = lackingNodes;
       if (count + missingNodes.count <= members) {
@@ -89,7 +89,7 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-function fieldsOf(payload: string): Fields {
+function parseFields(payload: string): Fields {
   const value = parseJson(payload);
   return isFields(value) ? value : {};
 }
@@ -121,8 +121,8 @@
   return isFields(value) && isText(value.server) && isText(value.cause);
 }
 
-/** A tally whose names fit its count: a count above 0 always comes with a name. */
-function tallyOf<Item>(
+/** Parses a tally; undefined if the names do not match the count: a count above 0 requires a name. */
+function parseTally<Item>(
   value: unknown,
   isItem: (item: unknown) => item is Item,
 ): Tally<Item> | undefined {
--- a/packages/operators/src/gathering/zone-surveyor.ts
+++ b/packages/operators/src/gathering/zone-surveyor.ts
@@ -1,9 +1,9 @@
 import type { MemberView } from '../node-view.js';
 import type { MissingNode, NodeRevision } from '../operator-backend.js';
-import { liveMembers } from '../questions/drained.js';
+import { liveMembers } from '../questions/member-status.js';
 import { revisionQuestion } from './node-question.js';
 import type { PeerGatherer } from './peer-gatherer.js';
-import { ZoneInquiry } from './zone-inquiry.js';
+import { RemoteZoneSurvey } from './remote-zone-survey.js';
 import {
   digestOf,
   tally,
@@ -12,41 +12,43 @@
   type ZoneSurvey,
 } from './zone-question.js';
 
-/** Longest time that another node may ask this one to gather; a wait asks for less than 1 s. */
-const maximumGatheringMilliseconds = 2_000;
+/** Longest deadline accepted in the question of another node. `wait` asks for less than 1 s. */
+const maximumGatherDeadlineMilliseconds = 2_000;
 
-/** What a surveyor needs of its node. */
-export interface ZoneSurveyorParts {
+export interface ZoneSurveyorDependencies {
   readonly gatherer: PeerGatherer;
   readonly server: string;
   readonly availabilityZone: string;
   readonly members: () => readonly MemberView[];
-  /** Revision in force on this node. */
+  /** Configuration revision in force on this node. */
   readonly revision: () => number;
   readonly random: () => number;
 }
 
-/** Which revision to ask for, and where. */
+/** A revision to look for, and the availability zones to look in. */
 export interface SurveyRequest {
   readonly revision: number;
   readonly deadlineMilliseconds: number;
-  /** Zones to ask; all of them by default. */
+  /** The zones to survey; all zones by default. */
   readonly availabilityZones?: ReadonlySet<string> | undefined;
 }
 
-/** Finds out where a revision is not in force: in the own zone by itself, elsewhere through a member. */
+/**
+ * Finds the members on which a revision is not in force. It asks each member of its own availability
+ * zone directly, and one member of every other zone about that whole zone.
+ */
 export class ZoneSurveyor {
-  public constructor(private readonly parts: ZoneSurveyorParts) {}
+  public constructor(private readonly dependencies: ZoneSurveyorDependencies) {}
 
-  /** Surveys the zones at the same time. */
+  /** Surveys the zones concurrently. Returns the survey of each zone by its name. */
   public async survey(request: SurveyRequest): Promise<ReadonlyMap<string, ZoneSurvey>> {
     const { revision, deadlineMilliseconds, availabilityZones } = request;
-    const { gatherer, availabilityZone: ownZone, random } = this.parts;
+    const { gatherer, availabilityZone: ownZone, random } = this.dependencies;
     const surveys = new Map<string, ZoneSurvey>();
-    const asked = [...this.membersByZone()].map(async ([availabilityZone, members]) => {
+    const zoneSurveys = [...this.membersByZone()].map(async ([availabilityZone, members]) => {
       if (availabilityZones !== undefined && !availabilityZones.has(availabilityZone)) return;
       const servers = members.map(({ server }) => server);
-      const inquiry = {
+      const remoteSurveyOptions = {
         revision,
         deadlineMilliseconds,
         gatherer,
@@ -56,32 +58,42 @@
       };
       const survey =
         availabilityZone === ownZone
-          ? this.surveyOwn([...servers, ...this.unplacedPeers()], revision, deadlineMilliseconds)
-          : new ZoneInquiry(inquiry).ask();
+          ? this.surveyOwnZone(
+              [...servers, ...this.peersWithoutMemberRecord()],
+              revision,
+              deadlineMilliseconds,
+            )
+          : new RemoteZoneSurvey(remoteSurveyOptions).ask();
       surveys.set(availabilityZone, await survey);
     });
-    await Promise.all(asked);
+    await Promise.all(zoneSurveys);
     return surveys;
   }
 
-  /** Answers for the own zone: for the members that either node knows. */
-  public async answer(question: ZoneQuestion): Promise<ZoneAnswer> {
+  /** Answers for this node's zone, covering the members known to either node. */
+  public async answerQuestion(question: ZoneQuestion): Promise<ZoneAnswer> {
     const { revision, digest, servers } = question;
-    const deadline = Math.min(question.deadlineMilliseconds, maximumGatheringMilliseconds);
-    const own = this.membersByZone().get(this.parts.availabilityZone) ?? [];
+    const deadlineMilliseconds = Math.min(
+      question.deadlineMilliseconds,
+      maximumGatherDeadlineMilliseconds,
+    );
+    const own = this.membersByZone().get(this.dependencies.availabilityZone) ?? [];
     const known = own.map(({ server }) => server);
     if (servers === undefined && digestOf(known) !== digest) return { kind: 'members-differ' };
     const all = [...new Set([...known, ...(servers ?? [])])];
-    return { kind: 'zone-survey', ...(await this.surveyOwn(all, revision, deadline)) };
+    return {
+      kind: 'zone-survey',
+      ...(await this.surveyOwnZone(all, revision, deadlineMilliseconds)),
+    };
   }
 
-  private async surveyOwn(
+  private async surveyOwnZone(
     servers: readonly string[],
     revision: number,
     deadlineMilliseconds: number,
   ): Promise<ZoneSurvey> {
-    const { gatherer, server: ownServer } = this.parts;
-    const own: NodeRevision = { revision: this.parts.revision(), server: ownServer };
+    const { gatherer, server: ownServer } = this.dependencies;
+    const own: NodeRevision = { revision: this.dependencies.revision(), server: ownServer };
     const others = servers.filter((server) => server !== ownServer);
     const options = { deadlineMilliseconds, servers: others };
     const gathered = await gatherer.gather(revisionQuestion, options);
@@ -90,10 +102,10 @@
     return { members: others.length + 1, lacking: tally(lacking), missing: tally(missing) };
   }
 
-  /** Live members by zone. The own zone is there even when this node has not joined yet. */
+  /** Live members by zone. This node's zone is always included, even before the node has joined. */
   private membersByZone(): ReadonlyMap<string, readonly MemberView[]> {
-    const zones = new Map<string, MemberView[]>([[this.parts.availabilityZone, []]]);
-    for (const member of liveMembers(this.parts.members())) {
+    const zones = new Map<string, MemberView[]>([[this.dependencies.availabilityZone, []]]);
+    for (const member of liveMembers(this.dependencies.members())) {
       const zone = zones.get(member.availabilityZone);
       if (zone === undefined) zones.set(member.availabilityZone, [member]);
       else zone.push(member);
@@ -101,9 +113,9 @@
     return zones;
   }
 
-  /** Nodes that the transport names without a member record; nobody else would ask them. */
-  private unplacedPeers(): readonly string[] {
-    const placed = new Set(this.parts.members().map(({ server }) => server));
-    return this.parts.gatherer.servers().filter((server) => !placed.has(server));
+  /** Servers of the transport that have no member record yet; no other survey covers them. */
+  private peersWithoutMemberRecord(): readonly string[] {
+    const serversWithRecord = new Set(this.dependencies.members().map(({ server }) => server));
+    return this.dependencies.gatherer.servers().filter((server) => !serversWithRecord.has(server));
   }
 }
--- a/packages/operators/src/index.ts
+++ b/packages/operators/src/index.ts
@@ -1,11 +1,11 @@
 export { applyCommands } from './changes/apply-commands.js';
 export type { ApplyResult } from './changes/apply-commands.js';
-export { differenceOf } from './changes/difference.js';
+export { diffConfigurations } from './changes/difference.js';
 export type { ConfigurationDifference } from './changes/difference.js';
 export {
   answerNodeQuestion,
-  decodeAnswer,
-  encodeQuestion,
+  decodeNodeAnswer,
+  encodeNodeQuestion,
   revisionQuestion,
 } from './gathering/node-question.js';
 export type { NodeAnswer, NodeQuestion } from './gathering/node-question.js';
@@ -18,19 +18,19 @@
 } from './gathering/zone-question.js';
 export type { Tally, ZoneAnswer, ZoneQuestion, ZoneSurvey } from './gathering/zone-question.js';
 export { ZoneSurveyor } from './gathering/zone-surveyor.js';
-export type { SurveyRequest, ZoneSurveyorParts } from './gathering/zone-surveyor.js';
+export type { SurveyRequest, ZoneSurveyorDependencies } from './gathering/zone-surveyor.js';
 export { PeerGatherer } from './gathering/peer-gatherer.js';
 export type { PeerTransport } from './gathering/peer-gatherer.js';
 export { NodeBackend } from './node-backend.js';
-export type { NodeBackendParts } from './node-backend.js';
+export type { NodeBackendDependencies } from './node-backend.js';
 export type {
-  BudgetUse,
+  BudgetUsage,
   KeyView,
   MemberView,
   NodeView,
-  PlatformUse,
+  PlatformStatus,
   Readiness,
-  TenantUse,
+  TenantUsage,
 } from './node-view.js';
 export { metricName, Metrics } from './observation/metrics.js';
 export type { GaugeDefinition } from './observation/metrics.js';
@@ -64,13 +64,13 @@
 export { ChangeStatus } from './results.js';
 export type {
   ChangeResult,
-  FaultsResult,
+  InvalidQueryResult,
   InForceResult,
   QueryResult,
   RowsResult,
 } from './results.js';
 export { defaultOperatorServerLimits, OperatorServer } from './server/operator-server.js';
 export type { OperatorServerLimits, OperatorServerOptions } from './server/operator-server.js';
-export { SecretCheck } from './server/secret-check.js';
-export type { AcceptedSecrets } from './server/secret-check.js';
-export { liveMembers } from './questions/drained.js';
+export { SecretVerifier } from './server/secret-verifier.js';
+export type { AcceptedSecrets } from './server/secret-verifier.js';
+export { liveMembers } from './questions/member-status.js';
--- a/packages/operators/src/node-backend.ts
+++ b/packages/operators/src/node-backend.ts
@@ -17,18 +17,20 @@
 import { localRows, type LocalSources } from './questions/local-rows.js';
 import type { Row } from './questions/rows.js';
 
-/** Parts that a `NodeBackend` is composed of. */
-export interface NodeBackendParts extends LocalSources {
+export interface NodeBackendDependencies extends LocalSources {
   readonly changes: ChangePort;
   readonly gatherer: PeerGatherer;
 }
 
-/** The backend of a real node: its view, journal and history, the other nodes and the change port. */
+/**
+ * The backend of a running node. It reads the node's view, journal and refusal history, asks other
+ * nodes through the gatherer, and commits changes through the change port.
+ */
 export class NodeBackend implements OperatorBackend {
   private readonly surveyor: ZoneSurveyor;
 
-  public constructor(private readonly parts: NodeBackendParts) {
-    const { gatherer, view } = parts;
+  public constructor(private readonly dependencies: NodeBackendDependencies) {
+    const { gatherer, view } = dependencies;
     this.surveyor = new ZoneSurveyor({
       gatherer,
       server: view.identity.server,
@@ -40,42 +42,42 @@
   }
 
   public get server(): string {
-    return this.parts.view.identity.server;
+    return this.dependencies.view.identity.server;
   }
 
   public configuration(): Configuration {
-    return this.parts.view.configuration();
+    return this.dependencies.view.configuration();
   }
 
   public members(): readonly MemberView[] {
-    return this.parts.view.members();
+    return this.dependencies.view.members();
   }
 
   public readiness(): Readiness {
-    return this.parts.view.readiness();
+    return this.dependencies.view.readiness();
   }
 
-  public rows(question: Question): Promise<readonly Row[]> {
-    return localRows(this.parts, question);
+  public localRows(question: Question): Promise<readonly Row[]> {
+    return localRows(this.dependencies, question);
   }
 
   public gather(question: NodeQuestion, options: GatherOptions): Promise<GatheredRows> {
-    return this.parts.gatherer.gather(question, options);
+    return this.dependencies.gatherer.gather(question, options);
   }
 
   public survey(request: SurveyRequest): Promise<ReadonlyMap<string, ZoneSurvey>> {
     return this.surveyor.survey(request);
   }
 
-  public answerZone(question: ZoneQuestion): Promise<ZoneAnswer> {
-    return this.surveyor.answer(question);
+  public answerZoneQuestion(question: ZoneQuestion): Promise<ZoneAnswer> {
+    return this.surveyor.answerQuestion(question);
   }
 
   public propose(proposal: ChangeProposal): Promise<ProposalResult> {
-    return this.parts.changes.propose(proposal);
+    return this.dependencies.changes.propose(proposal);
   }
 
-  public stateOf(changeId: string): Promise<ChangeState> {
-    return this.parts.changes.stateOf(changeId);
+  public lookUpChange(changeId: string): Promise<ChangeState> {
+    return this.dependencies.changes.lookUpChange(changeId);
   }
 }
--- a/packages/operators/src/node-view.ts
+++ b/packages/operators/src/node-view.ts
@@ -9,49 +9,49 @@
 
 /** A member as this node sees it. */
 export interface MemberView extends MemberRecord {
-  /** False while the member's availability zone or region can't be reached from this node. */
+  /** False while the availability zone or region of the member is unreachable from this node. */
   readonly reachable: boolean;
 }
 
-/** What a tenant uses of the local upstream. */
-export interface TenantUse {
+/** A tenant's use of the local upstream. */
+export interface TenantUsage {
   readonly service: string;
   readonly tenant: string;
   readonly inFlight: number;
   readonly queued: number;
 }
 
-/** What is spent of a budget of this node. */
-export interface BudgetUse {
+/** The state of one of this node's budgets. */
+export interface BudgetUsage {
   /** `probe`, `retry` or `key-records`. */
   readonly budget: string;
   /** The service that the budget belongs to; empty for a budget of the whole node. */
   readonly service: string;
   readonly spent: number;
   readonly allowed: number;
-  /** Unit of both numbers, such as `ms`, `tokens` or `bytes`. */
+  /** Unit of `spent` and `allowed`, such as `ms`, `tokens` or `bytes`. */
   readonly unit: string;
 }
 
-/** What this node knows of the platform's key-value service. */
-export interface PlatformUse {
-  readonly reachable: boolean;
+/** The state of this node's connection to the platform's key-value store. */
+export interface PlatformStatus {
+  readonly isReachable: boolean;
   readonly calls: number;
   readonly failedCalls: number;
-  /** Wall time of the last answer; undefined before the first one. */
+  /** Wall-clock time of the last response; undefined before the first one. */
   readonly lastAnswerAt: number | undefined;
   readonly latencyMilliseconds: number;
-  readonly watching: boolean;
+  readonly isWatching: boolean;
 }
 
-/** What the home of a key answered. */
+/** The answer of the home of an idempotency key. */
 export interface KeyView {
   readonly home: string;
   readonly state: KeyRecord['state'];
   readonly status: number | undefined;
 }
 
-/** Whether the node takes work. */
+/** Whether the node accepts requests. */
 export interface Readiness {
   readonly ready: boolean;
   /** Why the node is not ready, such as `draining` or `no configuration yet`. */
@@ -59,23 +59,23 @@
 }
 
 /**
- * The state of this node as the operator port reads it. The wiring implements it on top of the core
- * and the adapters; every function but `key` answers at once from memory.
+ * The state of this node as the operator port reads it. The daemon implements it on top of the core
+ * and its adapters. Every function except `findKey` reads from memory and returns synchronously.
  */
 export interface NodeView {
   readonly identity: NodeIdentity;
   /** The configuration in force on this node. */
   configuration(): Configuration;
-  /** All members that this node knows, itself included. */
+  /** All members known to this node, including itself. */
   members(): readonly MemberView[];
-  /** Undefined while no upstream has announced itself. */
+  /** The load of the local upstream; undefined until one has announced itself. */
   load(): LoadReport | undefined;
-  /** The services of which this node is a home. */
+  /** The services for which this node is a home of keys. */
   homes(): readonly ServiceHomeStatus[];
-  tenantUse(): readonly TenantUse[];
-  budgets(): readonly BudgetUse[];
-  platform(): PlatformUse;
+  tenantUsage(): readonly TenantUsage[];
+  budgets(): readonly BudgetUsage[];
+  platformStatus(): PlatformStatus;
   readiness(): Readiness;
-  /** Asks the home of a key; undefined when there is no home or it did not answer. */
-  key(service: string, key: string): Promise<KeyView | undefined>;
+  /** Asks the home of a key for its record; undefined if there is no home or it did not answer. */
+  findKey(service: string, key: string): Promise<KeyView | undefined>;
 }
--- a/packages/operators/src/observation/journal-rows.ts
+++ b/packages/operators/src/observation/journal-rows.ts
@@ -3,9 +3,9 @@
 import type { Row } from '../questions/rows.js';
 import type { JournalEntry, JournalStep, RequestStep } from './request-journal.js';
 
-/** Wall time as text that sorts in time order. */
-export function timeText(wall: number): string {
-  return new Date(wall).toISOString();
+/** Formats a wall-clock time as text that sorts chronologically. */
+export function formatTimestamp(unixMilliseconds: number): string {
+  return new Date(unixMilliseconds).toISOString();
 }
 
 function loadCells(load: LoadReport | undefined): Row {
@@ -74,7 +74,7 @@
   const start = entry.steps[0]?.at ?? 0;
   return entry.steps.map(({ at, step }) => ({
     after_ms: at - start,
-    at: timeText(at),
+    at: formatTimestamp(at),
     entry: server,
     request: entry.requestId,
     step: step.kind,
@@ -83,21 +83,21 @@
   }));
 }
 
-function conclusionOf(
+function findConclusion(
   steps: readonly JournalStep[],
 ): ({ readonly at: number } & Extract<RequestStep, { kind: 'concluded' }>) | undefined {
   const last = steps.at(-1);
   return last?.step.kind === 'concluded' ? { at: last.at, ...last.step } : undefined;
 }
 
-/** One row for a whole request. */
+/** One row that summarizes a request. */
 export function requestRow(entry: JournalEntry, server: string): Row {
   const [first] = entry.steps;
   const received = first?.step.kind === 'received' ? first.step : undefined;
-  const conclusion = conclusionOf(entry.steps);
+  const conclusion = findConclusion(entry.steps);
   const outcome = conclusion?.outcome;
   return {
-    at: timeText(first?.at ?? 0),
+    at: formatTimestamp(first?.at ?? 0),
     attempts: entry.steps.filter(({ step }) => step.kind === 'sent').length,
     class: received?.requestClass ?? null,
     entry: server,
--- a/packages/operators/src/observation/latency-summary.ts
+++ b/packages/operators/src/observation/latency-summary.ts
@@ -1,9 +1,10 @@
 import histogramModule from 'hdr-histogram-js/dist/Int32Histogram.js';
 
-// The library's main module loads a WebAssembly build and a compressor too, which takes 10 MB.
+// Imported directly, because the library's main module also loads a WebAssembly build and a compressor,
+// which take 10 MB.
 const Int32Histogram = histogramModule.default;
 
-/** Pairs of service and outcome with a histogram of their own, at about 10 KB each. */
+/** Limit of the histograms, one for each pair of service and outcome, at about 10 KB each. */
 export const maximumLatencySeries = 256;
 
 const quantiles = [0.5, 0.9, 0.99, 0.999] as const;
@@ -19,26 +20,26 @@
   sumMilliseconds: number;
 }
 
-/** Escapes a label value for the Prometheus text format. */
+/** Escapes a label value as the Prometheus text format requires. */
 export function escapeLabel(value: string): string {
   return value.replace(/\\/g, '\\\\').replace(/"/g, '\\"').replace(/\n/g, '\\n');
 }
 
-/** Latencies by service and outcome since the start of the node. */
+/** Request latencies by service and outcome since the start of the node. */
 export class LatencySummary {
   private readonly series = new Map<string, Series>();
 
   public constructor(private readonly name: string) {}
 
-  /** Adds the time from receipt to outcome of one request. */
+  /** Records the time from the receipt of a request to its outcome. */
   public record(service: string, outcome: string, milliseconds: number): void {
-    const series = this.find(service, outcome);
+    const series = this.findOrCreateSeries(service, outcome);
     const microseconds = Math.round(milliseconds * microsecondsPerMillisecond);
     series.histogram.recordValue(Math.min(Math.max(microseconds, 0), highestMicroseconds));
     series.sumMilliseconds += milliseconds;
   }
 
-  /** The summary in the Prometheus text format; percentiles are accurate to two digits. */
+  /** The summary in the Prometheus text format. Percentiles are accurate to two significant digits. */
   public text(): string {
     const lines = [
       `# HELP ${this.name} Time from receipt of a request to its outcome, in milliseconds.`,
@@ -56,12 +57,12 @@
     return `${lines.join('\n')}\n`;
   }
 
-  private find(service: string, outcome: string): Series {
+  private findOrCreateSeries(service: string, outcome: string): Series {
     const key = JSON.stringify([service, outcome]);
     const known = this.series.get(key);
     if (known !== undefined) return known;
     if (this.series.size >= maximumLatencySeries && service !== otherServices) {
-      return this.find(otherServices, outcome);
+      return this.findOrCreateSeries(otherServices, outcome);
     }
     const series: Series = {
       histogram: new Int32Histogram(1, highestMicroseconds, significantDigits),
--- a/packages/operators/src/observation/metrics.ts
+++ b/packages/operators/src/observation/metrics.ts
@@ -4,12 +4,12 @@
 import { LatencySummary } from './latency-summary.js';
 
 const prefix = 'peridotspring_';
-/** Series of one counter; a label with more values than that would fill the node's memory. */
+/** Limit of the series of one counter, so that a label with ever new values does not fill the memory. */
 export const maximumSeriesPerCounter = 1_000;
 
 type Labels = Readonly<Record<string, string>>;
 
-/** Counts of one series that prom-client has not been told yet. */
+/** A series and the increments not yet passed to prom-client. */
 interface PendingSeries {
   readonly counter: Counter;
   readonly labels: Labels;
@@ -22,7 +22,7 @@
   readonly series: Set<string>;
 }
 
-/** A value that is read whenever the metrics are. */
+/** A gauge whose value is read at each scrape. */
 export interface GaugeDefinition {
   /** Without the prefix `peridotspring_`. */
   readonly name: string;
@@ -30,7 +30,7 @@
   read(): number;
 }
 
-/** A value for each of a number of things, such as services, that is read whenever the metrics are. */
+/** A gauge with one series for each value of a label, such as the service; read at each scrape. */
 export interface LabelledGaugeDefinition {
   /** Without the prefix `peridotspring_`. */
   readonly name: string;
@@ -39,8 +39,8 @@
   read(): Iterable<readonly [string, number]>;
 }
 
-/** Label names may not contain the hyphens of the core's names. */
-function cleanLabels(labels: Labels): Labels {
+/** Replaces characters that Prometheus does not allow in label names, such as the hyphens of the core. */
+function sanitizeLabels(labels: Labels): Labels {
   return Object.fromEntries(
     Object.entries(labels).map(([name, value]) => [name.replace(/[^A-Za-z0-9_]/g, '_'), value]),
   );
@@ -50,57 +50,55 @@
   return Object.keys(labels).sort();
 }
 
-/** Tells apart what `count` is called with; label names and values hold no control characters. */
+/** Key of a command's series. NUL separates the parts, since labels hold no control characters. */
 function seriesKey({ counter, labels }: CountCommand): string {
   let key = counter;
   for (const name of Object.keys(labels)) key += `\u0000${name}\u0000${labels[name] ?? ''}`;
   return key;
 }
 
-/** Name of a counter as Prometheus has it: `retries-refused` becomes `peridotspring_retries_refused_total`. */
+/** Prometheus name of a counter: `retries-refused` becomes `peridotspring_retries_refused_total`. */
 export function metricName(counter: string): string {
   const name = counter.replace(/[^A-Za-z0-9_]/g, '_').replace(/_total$/, '');
   return `${prefix}${name}_total`;
 }
 
-/** Counters, gauges and latencies of a node, exposed as Prometheus text. */
+/** Counters, gauges and latencies of a node, exposed in the Prometheus text format. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<string, BoundedCounter>();
   /**
-   * Series that were accepted, by the key of their command. prom-client checks and hashes the labels
-   * at each increment, so it gets the sums when the metrics are read.
+   * Series by the key of their command. prom-client validates and hashes the labels at each increment,
+   * so increments are summed here and passed on when the metrics are read.
    */
-  private readonly accepted = new Map<string, PendingSeries>();
+  private readonly pendingSeries = new Map<string, PendingSeries>();
   private readonly latencies = new LatencySummary(`${prefix}request_duration_milliseconds`);
-  private readonly dropped = new Counter({
-    help: 'Counts dropped because of other label names than before or too many label values.',
+  private readonly droppedCounts = new Counter({
+    help: 'Counts dropped because of different label names than before or too many label values.',
     labelNames: ['counter', 'cause'],
     name: `${prefix}metrics_dropped_total`,
     registers: [this.registry],
   });
 
-  /** The content type of `text`. */
+  /** Content type of the result of `text`. */
   public readonly contentType = 'text/plain; version=0.0.4; charset=utf-8';
 
-  /** Raises the counter that a command of the core names; it is created on first use. */
+  /** Increments the counter that a command of the core names. A counter is created on first use. */
   public count(command: CountCommand): void {
     const key = seriesKey(command);
-    const known = this.accepted.get(key);
+    const known = this.pendingSeries.get(key);
     if (known !== undefined) {
       known.count += command.by;
       return;
     }
-    const accepted = this.accept(command);
-    if (accepted !== undefined) this.accepted.set(key, accepted);
+    const created = this.createSeries(command);
+    if (created !== undefined) this.pendingSeries.set(key, created);
   }
 
-  /** Adds the latency of one request. */
   public recordLatency(service: string, outcome: string, milliseconds: number): void {
     this.latencies.record(service, outcome, milliseconds);
   }
 
-  /** Adds a gauge that is read at each scrape. */
   public addGauge(definition: GaugeDefinition): void {
     const gauge: Gauge = new Gauge({
       collect: () => {
@@ -112,7 +110,7 @@
     });
   }
 
-  /** Adds a gauge with one series for each value of a label; series that are no longer read disappear. */
+  /** Adds a gauge with one series for each label value. Series that are no longer read are removed. */
   public addLabelledGauge(definition: LabelledGaugeDefinition): void {
     const { help, label, name } = definition;
     const gauge: Gauge = new Gauge({
@@ -128,26 +126,26 @@
     });
   }
 
-  /** Everything in the Prometheus text format. */
+  /** All metrics in the Prometheus text format. */
   public async text(): Promise<string> {
-    this.flush();
+    this.flushPendingCounts();
     return `${await this.registry.metrics()}\n${this.latencies.text()}`;
   }
 
-  /** The series of a command, unless it has other label names than before or there are too many. */
-  private accept(command: CountCommand): PendingSeries | undefined {
+  /** Creates the series of a command; undefined if its label names differ or the counter has too many series. */
+  private createSeries(command: CountCommand): PendingSeries | undefined {
     const name = metricName(command.counter);
-    const labels = cleanLabels(command.labels);
-    const bounded = this.counters.get(name) ?? this.create(name, command.counter, labels);
+    const labels = sanitizeLabels(command.labels);
+    const bounded = this.counters.get(name) ?? this.createCounter(name, command.counter, labels);
     const names = labelNamesOf(labels);
     if (names.join() !== bounded.labelNames.join()) {
-      this.dropped.inc({ cause: 'label-names', counter: name }, command.by);
+      this.droppedCounts.inc({ cause: 'label-names', counter: name }, command.by);
       return undefined;
     }
     const series = JSON.stringify(names.map((label) => labels[label]));
     if (!bounded.series.has(series)) {
       if (bounded.series.size >= maximumSeriesPerCounter) {
-        this.dropped.inc({ cause: 'label-values', counter: name }, command.by);
+        this.droppedCounts.inc({ cause: 'label-values', counter: name }, command.by);
         return undefined;
       }
       bounded.series.add(series);
@@ -155,15 +153,15 @@
     return { count: command.by, counter: bounded.counter, labels };
   }
 
-  private flush(): void {
-    for (const series of this.accepted.values()) {
+  private flushPendingCounts(): void {
+    for (const series of this.pendingSeries.values()) {
       if (series.count === 0) continue;
       series.counter.inc({ ...series.labels }, series.count);
       series.count = 0;
     }
   }
 
-  private create(name: string, counterName: string, labels: Labels): BoundedCounter {
+  private createCounter(name: string, counterName: string, labels: Labels): BoundedCounter {
     const labelNames = labelNamesOf(labels);
     const counter = new Counter({
       help: `Count of ${counterName}.`,
--- a/packages/operators/src/observation/refusal-history.ts
+++ b/packages/operators/src/observation/refusal-history.ts
@@ -1,14 +1,13 @@
 import type { CallOutcome } from '@peridotspring/core';
 
 import type { Row } from '../questions/rows.js';
-import { timeText } from './journal-rows.js';
+import { formatTimestamp } from './journal-rows.js';
 
-/** Time that one bucket of the history covers. */
 export const historyBucketMilliseconds = 10_000;
-/** Buckets that are kept: one hour. */
-export const historyBuckets = 360;
-/** Pairs of service and reason in one bucket; further ones are counted under the service `(other)`. */
-export const historyPairsPerBucket = 256;
+/** Limit of the buckets, which together cover one hour. */
+export const maximumHistoryBuckets = 360;
+/** Limit of the pairs of service and reason in one bucket. Further ones are counted under the service `(other)`. */
+export const maximumPairsPerHistoryBucket = 256;
 
 const otherServices = '(other)';
 
@@ -17,22 +16,24 @@
   readonly counts: Map<string, number>;
 }
 
-/** Counts refused and unknown outcomes by service and reason over the last hour. */
+/** Counts refused requests and unknown outcomes of the last hour by service and reason. */
 export class RefusalHistory {
   private buckets: Bucket[] = [];
 
-  /** Counts an outcome; answered ones are left out. */
+  /** Counts an outcome, unless the request was answered. */
   public record(service: string, outcome: CallOutcome, now: number): void {
     if (outcome.kind === 'answered') return;
     const { counts } = this.bucketAt(now);
     const key = JSON.stringify([service, outcome.kind, outcome.reason]);
-    const isRoom = counts.has(key) || counts.size < historyPairsPerBucket;
-    // The number of reasons is fixed, so the keys of `(other)` are bounded as well.
-    const used = isRoom ? key : JSON.stringify([otherServices, outcome.kind, outcome.reason]);
-    counts.set(used, (counts.get(used) ?? 0) + 1);
+    const hasRoom = counts.has(key) || counts.size < maximumPairsPerHistoryBucket;
+    // The set of reasons is fixed, so the number of keys of `(other)` is bounded as well.
+    const countedKey = hasRoom
+      ? key
+      : JSON.stringify([otherServices, outcome.kind, outcome.reason]);
+    counts.set(countedKey, (counts.get(countedKey) ?? 0) + 1);
   }
 
-  /** One row for each service and reason, over the given time to the whole bucket. */
+  /** One row for each service and reason. The period is extended to whole buckets. */
   public rowsSince(sinceMilliseconds: number, now: number): readonly Row[] {
     const oldest = Math.floor((now - sinceMilliseconds) / historyBucketMilliseconds);
     const totals = new Map<string, { count: number; last: number }>();
@@ -46,7 +47,7 @@
       const [service, outcome, reason] = JSON.parse(key) as [string, string, string];
       return {
         count,
-        last_at: timeText(last * historyBucketMilliseconds),
+        last_at: formatTimestamp(last * historyBucketMilliseconds),
         outcome,
         reason,
         service,
@@ -57,10 +58,10 @@
   private bucketAt(now: number): Bucket {
     const number = Math.floor(now / historyBucketMilliseconds);
     const newest = this.buckets.at(-1);
-    // A wall clock that was set back keeps counting in the newest bucket.
+    // If the wall clock was set back, counting continues in the newest bucket.
     if (newest !== undefined && newest.number >= number) return newest;
     const bucket: Bucket = { counts: new Map(), number };
-    this.buckets = [...this.buckets.slice(-(historyBuckets - 1)), bucket];
+    this.buckets = [...this.buckets.slice(-(maximumHistoryBuckets - 1)), bucket];
     return bucket;
   }
 }
--- a/packages/operators/src/observation/request-journal.ts
+++ b/packages/operators/src/observation/request-journal.ts
@@ -1,8 +1,8 @@
 import type { AttemptStep, CallOutcome, RequestClass } from '@peridotspring/core';
 
-import { dropOldest } from './bounded-map.js';
+import { evictOldest } from './bounded-map.js';
 
-/** A step of a request, as its entry or the home of its key saw it. */
+/** A step of a request, as observed by its entry or by the home of its key. */
 export type RequestStep =
   | {
       readonly kind: 'received';
@@ -18,43 +18,43 @@
       readonly outcome: CallOutcome;
       readonly service: string;
       readonly tenant: string;
-      /** What the entry found wrong with a request that it refused itself. */
+      /** Why the entry itself refused the request, for people. */
       readonly detail?: string | undefined;
     };
 
 /** A step with its time. */
 export interface JournalStep {
-  /** Wall time. */
+  /** Wall-clock time in Unix milliseconds. */
   readonly at: number;
   readonly step: RequestStep;
 }
 
-/** A request and its steps in the order in which they happened. */
+/** A request and its steps in chronological order. */
 export interface JournalEntry {
   readonly requestId: string;
   readonly steps: readonly JournalStep[];
-  /** Steps that were left out because the entry was full. */
+  /** Number of steps that were dropped because the journal entry was full. */
   readonly omittedSteps: number;
 }
 
-interface OpenEntry {
+interface MutableJournalEntry {
   readonly requestId: string;
   readonly steps: JournalStep[];
   omittedSteps: number;
 }
 
-/** Bounds of a journal. */
+/** Limits of a journal. */
 export interface JournalBounds {
-  /** Requests in progress and answered ones. */
+  /** Number of requests in progress and answered requests. */
   readonly recentRequests: number;
-  /** Refused requests and such with an unknown outcome. */
+  /** Number of refused requests and requests with an unknown outcome. */
   readonly unsuccessfulRequests: number;
   readonly stepsPerRequest: number;
 }
 
 /**
- * An entry with three attempts takes about 1 KB, so these bounds keep the journal near 4 MB of the
- * 64 MB that a node may use for control.
+ * A journal entry with three attempts takes about 1 KB, so the journal takes about 4 MB of the 64 MB
+ * that a node may use for its control functions.
  */
 export const defaultJournalBounds: JournalBounds = {
   recentRequests: 2_048,
@@ -63,71 +63,71 @@
 };
 
 /**
- * Remembers recent requests with every attempt. Unsuccessful requests have a ring of their own, so
- * that a stream of answered ones doesn't displace the ones an operator asks about.
+ * Keeps recent requests with all their attempts. Unsuccessful requests are kept separately, so that
+ * answered requests do not evict the ones that an operator asks about.
  */
 export class RequestJournal {
-  private readonly recent = new Map<string, OpenEntry>();
-  private readonly unsuccessful = new Map<string, OpenEntry>();
+  private readonly recent = new Map<string, MutableJournalEntry>();
+  private readonly unsuccessful = new Map<string, MutableJournalEntry>();
 
   public constructor(private readonly bounds: JournalBounds = defaultJournalBounds) {}
 
   /**
-   * Adds a step. An entry is opened by the receipt of a request, by an attempt that a home sends on, and
-   * by the conclusion of a request that was refused on receipt; other steps of forgotten requests are
-   * dropped.
+   * Adds a step. A journal entry is created on the receipt of a request, on an attempt that the home of
+   * its key sends, and on the conclusion of a request that was refused on receipt. All other steps of
+   * requests that are not in the journal are dropped.
    */
   public record(requestId: string, step: RequestStep, at: number): void {
-    const entry = this.find(requestId) ?? this.open(requestId, step);
+    const entry = this.find(requestId) ?? this.createEntry(requestId, step);
     if (entry === undefined) return;
-    // The conclusion is kept even when the entry is full: it says what the caller was told.
+    // The conclusion is kept even if the journal entry is full, because it holds the caller's outcome.
     if (entry.steps.length < this.bounds.stepsPerRequest || step.kind === 'concluded') {
       entry.steps.push({ at, step });
     } else {
       entry.omittedSteps += 1;
     }
-    if (isUnsuccessful(entry, step)) this.keepLonger(entry);
+    if (isUnsuccessful(entry, step)) this.moveToUnsuccessful(entry);
   }
 
-  /** The entry of a request, if it is still remembered. */
+  /** The journal entry of a request; undefined if there is none or it was evicted. */
   public entry(requestId: string): JournalEntry | undefined {
     return this.find(requestId);
   }
 
-  /** All remembered requests, the unsuccessful ones first, newest first within each. */
+  /** All journal entries: first the unsuccessful requests, then the others, each newest first. */
   public entries(): readonly JournalEntry[] {
-    const newestFirst = (entries: Map<string, OpenEntry>): OpenEntry[] =>
+    const newestFirst = (entries: Map<string, MutableJournalEntry>): MutableJournalEntry[] =>
       [...entries.values()].reverse();
     return [...newestFirst(this.unsuccessful), ...newestFirst(this.recent)];
   }
 
-  private find(requestId: string): OpenEntry | undefined {
+  private find(requestId: string): MutableJournalEntry | undefined {
     return this.recent.get(requestId) ?? this.unsuccessful.get(requestId);
   }
 
-  private open(requestId: string, step: RequestStep): OpenEntry | undefined {
+  private createEntry(requestId: string, step: RequestStep): MutableJournalEntry | undefined {
     const isRefusedOnReceipt = step.kind === 'concluded' && step.outcome.kind !== 'answered';
     if (step.kind !== 'received' && step.kind !== 'sent' && !isRefusedOnReceipt) return undefined;
-    const entry: OpenEntry = { omittedSteps: 0, requestId, steps: [] };
+    const entry: MutableJournalEntry = { omittedSteps: 0, requestId, steps: [] };
     this.recent.set(requestId, entry);
-    dropOldest(this.recent, this.bounds.recentRequests);
+    evictOldest(this.recent, this.bounds.recentRequests);
     return entry;
   }
 
-  private keepLonger(entry: OpenEntry): void {
+  private moveToUnsuccessful(entry: MutableJournalEntry): void {
     this.recent.delete(entry.requestId);
     this.unsuccessful.set(entry.requestId, entry);
-    dropOldest(this.unsuccessful, this.bounds.unsuccessfulRequests);
+    evictOldest(this.unsuccessful, this.bounds.unsuccessfulRequests);
   }
 }
 
-/** Whether this node was the entry of the request; otherwise it is the home of the request's key. */
-export function isEntryOf({ steps }: Pick<JournalEntry, 'steps'>): boolean {
+/** Whether this node recorded the request as its entry, not as the home of its key. */
+export function isRecordedByEntry({ steps }: Pick<JournalEntry, 'steps'>): boolean {
   return steps[0]?.step.kind !== 'sent';
 }
 
-function isUnsuccessful(entry: OpenEntry, step: RequestStep): boolean {
+function isUnsuccessful(entry: MutableJournalEntry, step: RequestStep): boolean {
   if (step.kind === 'concluded') return step.outcome.kind !== 'answered';
-  // A home is not told the conclusion, and its own steps say why its entry got none.
-  return !isEntryOf(entry) && (step.kind === 'refused' || step.kind === 'failed');
+  // The home of a key does not receive the conclusion; its own steps show why the entry got no answer.
+  return !isRecordedByEntry(entry) && (step.kind === 'refused' || step.kind === 'failed');
 }
--- a/packages/operators/src/operator-backend.ts
+++ b/packages/operators/src/operator-backend.ts
@@ -7,72 +7,72 @@
 import type { MemberView, Readiness } from './node-view.js';
 import type { Row } from './questions/rows.js';
 
-/** A node that was asked and whose answer is missing from a result. */
+/** A node that was asked a question but whose rows are missing from the result. */
 export interface MissingNode {
   readonly server: string;
-  /** Such as `no answer within 2000 ms` or `connection lost`. */
+  /** Why the answer is missing, such as `no answer within 2000 ms` or `connection lost`. */
   readonly cause: string;
 }
 
-/** The revision in force on a node. */
+/** The configuration revision in force on a node. */
 export interface NodeRevision {
   readonly server: string;
   readonly revision: number;
 }
 
-/** Rows of the nodes that answered in time, and the names of those that did not. */
+/** The rows of the nodes that answered before the deadline, and the nodes that did not answer. */
 export interface GatheredRows {
   readonly rows: readonly Row[];
   readonly revisions: readonly NodeRevision[];
   readonly missing: readonly MissingNode[];
 }
 
-/** How other nodes are asked. */
+/** Options for asking other nodes a question. */
 export interface GatherOptions {
   readonly deadlineMilliseconds: number;
-  /** Asks only these servers; all members by default. */
+  /** The servers to ask; all live members except this node by default. */
   readonly servers?: readonly string[] | undefined;
 }
 
-/** A change to be committed. */
+/** A configuration change to commit. */
 export interface ChangeProposal {
-  /** Unique; the same change sent again has the same identifier and takes effect once. */
+  /** Unique for each change. A change that is sent again under its identifier takes effect once. */
   readonly changeId: string;
-  /** Whether the change was sent before, and what became of it is not known. */
+  /** Whether the change was proposed before with an unknown result. */
   readonly isResent?: boolean | undefined;
   readonly baseRevision: number;
   readonly configuration: Configuration;
 }
 
-/** What is known of a change by its identifier. */
+/** What the store records about a change identifier. */
 export type ChangeState =
-  /** The root record lists the change: it is committed and never reverts. */
+  /** The root record of the configuration lists the change: it is committed and is never reverted. */
   | { readonly kind: 'in-force'; readonly revision: number }
-  /** The root record doesn't list it. It may still be committed while somebody proposes it. */
+  /** The root record does not list the change. A proposal in progress may still commit it. */
   | { readonly kind: 'not-found'; readonly revision: number }
-  /** The platform's service could not be asked. */
+  /** The store could not be read. */
   | { readonly kind: 'unresolved' };
 
-/** Commits changes; the wiring implements it with `propose-configuration` messages to the core. */
+/** Commits changes. The daemon implements it with `propose-configuration` messages to the core. */
 export interface ChangePort {
-  /** Resolves with the core's result, at the latest with `unresolved` when nobody can say. */
+  /** Resolves with the result of the core; `unresolved` if it is unknown whether the change was committed. */
   propose(proposal: ChangeProposal): Promise<ProposalResult>;
-  /** Looks the identifier up in the root record of the platform's service. */
-  stateOf(changeId: string): Promise<ChangeState>;
+  /** Looks the identifier up in the root record of the configuration in the store. */
+  lookUpChange(changeId: string): Promise<ChangeState>;
 }
 
-/** Everything that the operator port needs of a node. `NodeBackend` implements it. */
+/** Everything that the operator port needs from a node. `NodeBackend` implements it. */
 export interface OperatorBackend extends ChangePort {
   readonly server: string;
   configuration(): Configuration;
   members(): readonly MemberView[];
   readiness(): Readiness;
-  /** This node's rows for a question, before filter, order and limit. */
-  rows(question: Question): Promise<readonly Row[]>;
-  /** Asks the other nodes a question; their rows are not combined yet. */
+  /** This node's rows for a question, not yet filtered, sorted or limited. */
+  localRows(question: Question): Promise<readonly Row[]>;
+  /** Asks other nodes a question. The rows that it returns are not combined yet. */
   gather(question: NodeQuestion, options: GatherOptions): Promise<GatheredRows>;
-  /** Finds out in which availability zones a revision is not in force. */
+  /** Determines, for each availability zone, on which members a revision is not in force. */
   survey(request: SurveyRequest): Promise<ReadonlyMap<string, ZoneSurvey>>;
-  /** Answers another node for the members of the own availability zone. */
-  answerZone(question: ZoneQuestion): Promise<ZoneAnswer>;
+  /** Answers another node's question about all members of this node's availability zone. */
+  answerZoneQuestion(question: ZoneQuestion): Promise<ZoneAnswer>;
 }
--- a/packages/operators/src/parsing/parser-worker.ts
+++ b/packages/operators/src/parsing/parser-worker.ts
@@ -2,9 +2,9 @@
 
 import { parseStatement } from '@peridotspring/language';
 
-import type { ParseReply, ParseRequest } from './statement-parser.js';
+import type { ParseResponse, ParseRequest } from './statement-parser.js';
 
 parentPort?.on('message', ({ id, text }: ParseRequest) => {
-  const reply: ParseReply = { id, result: parseStatement(text) };
-  parentPort?.postMessage(reply);
+  const response: ParseResponse = { id, result: parseStatement(text) };
+  parentPort?.postMessage(response);
 });
--- a/packages/operators/src/parsing/statement-parser.ts
+++ b/packages/operators/src/parsing/statement-parser.ts
@@ -2,19 +2,19 @@
 
 import type { ParseResult } from '@peridotspring/language';
 
-/** Parses texts in the language. */
+/** Parses statements of the operator language. */
 export interface StatementParser {
   parse(text: string): Promise<ParseResult>;
 }
 
-/** A request to the worker. */
+/** A message to the worker thread. */
 export interface ParseRequest {
   readonly id: number;
   readonly text: string;
 }
 
-/** The worker's answer. */
-export interface ParseReply {
+/** The worker thread's response to a `ParseRequest`. */
+export interface ParseResponse {
   readonly id: number;
   readonly result: ParseResult;
 }
@@ -24,12 +24,12 @@
   reject(error: Error): void;
 }
 
-/** An operator who works interactively asks again within this time and finds the parser loaded. */
+/** Long enough that the parser stays loaded while an operator works interactively. */
 const defaultIdleMilliseconds = 60_000;
 
 /**
- * Parses in a worker thread that runs only while operators ask. The parser takes 15 MiB, and loading
- * it takes up to seconds on a busy machine, for which time the event loop would serve no calls.
+ * Parses in a worker thread that is started on demand and stopped when idle. The parser takes 15 MiB
+ * of memory, and loading it can take seconds on a busy machine, which would block the event loop.
  */
 export class WorkerParser implements StatementParser {
   private worker: Worker | undefined;
@@ -40,16 +40,16 @@
 
   public constructor(private readonly idleMilliseconds: number = defaultIdleMilliseconds) {}
 
-  /** Whether the worker thread exists. */
+  /** Whether the worker thread is running. */
   public get isLoaded(): boolean {
     return this.worker !== undefined;
   }
 
-  /** Rejects when the worker fails or the parser is closed. */
+  /** Rejects if the worker thread fails or the parser is closed. */
   public parse(text: string): Promise<ParseResult> {
     if (this.isClosed) return Promise.reject(new Error('the node stops'));
     clearTimeout(this.idleTimer);
-    const worker = (this.worker ??= this.start());
+    const worker = (this.worker ??= this.startWorker());
     const request: ParseRequest = { id: this.nextId, text };
     this.nextId += 1;
     worker.ref();
@@ -61,42 +61,42 @@
 
   public close(): void {
     this.isClosed = true;
-    this.stop(new Error('the node stops'));
+    this.stopWorker(new Error('the node stops'));
   }
 
-  private start(): Worker {
+  private startWorker(): Worker {
     const worker = new Worker(new URL('./parser-worker.js', import.meta.url));
-    const failed = (error: Error): void => {
-      if (this.worker === worker) this.stop(error);
+    const onFailure = (error: Error): void => {
+      if (this.worker === worker) this.stopWorker(error);
     };
-    worker.on('message', (reply: ParseReply) => {
-      this.replied(reply);
+    worker.on('message', (response: ParseResponse) => {
+      this.onResponse(response);
     });
-    worker.on('error', failed);
+    worker.on('error', onFailure);
     worker.on('exit', (code) => {
-      failed(new Error(`the parser ended with code ${code}`));
+      onFailure(new Error(`the parser thread exited with code ${code}`));
     });
     return worker;
   }
 
-  private replied({ id, result }: ParseReply): void {
+  private onResponse({ id, result }: ParseResponse): void {
     this.pending.get(id)?.resolve(result);
     this.pending.delete(id);
     if (this.pending.size > 0) return;
     this.worker?.unref();
     this.idleTimer = setTimeout(() => {
-      this.stop(new Error('the parser was idle'));
+      this.stopWorker(new Error('the parser thread was stopped because it was idle'));
     }, this.idleMilliseconds);
     this.idleTimer.unref();
   }
 
-  private stop(reason: Error): void {
+  private stopWorker(reason: Error): void {
     clearTimeout(this.idleTimer);
     const { worker } = this;
     this.worker = undefined;
-    const waiting = [...this.pending.values()];
+    const rejectedParses = [...this.pending.values()];
     this.pending.clear();
-    for (const parse of waiting) parse.reject(reason);
+    for (const parse of rejectedParses) parse.reject(reason);
     void worker?.terminate();
   }
 }
--- a/packages/operators/src/query-runner.ts
+++ b/packages/operators/src/query-runner.ts
@@ -10,22 +10,22 @@
 import { combineRows } from './questions/combine-rows.js';
 import { fieldsOf } from './questions/fields.js';
 import { checkQuestion, selectRows } from './questions/select-rows.js';
-import type { ChangeResult, FaultsResult, QueryResult, RowsResult } from './results.js';
+import type { ChangeResult, InvalidQueryResult, QueryResult, RowsResult } from './results.js';
 
-/** Time that other nodes have to answer a question. */
+/** Time within which other nodes have to answer a question. */
 export const gatherDeadlineMilliseconds = 2_000;
 
-/** A text of an operator. */
+/** A query of an operator. */
 export interface Query {
   readonly text: string;
-  /** Chosen by the client for a change, so that it can ask for the result if the answer is lost. */
+  /** Identifier that the client chose for a change, to look up its result if the response is lost. */
   readonly changeId?: string | undefined;
 }
 
-const nothingGathered: GatheredRows = { missing: [], revisions: [], rows: [] };
+const emptyGatheredRows: GatheredRows = { missing: [], revisions: [], rows: [] };
 
-/** The question that the other nodes are asked; undefined when this node alone can answer. */
-function gatheredQuestion(statement: QuestionStatement, text: string): NodeQuestion | undefined {
+/** The question to ask other nodes; undefined if this node can answer alone. */
+function questionForPeers(statement: QuestionStatement, text: string): NodeQuestion | undefined {
   switch (statement.question.kind) {
     case 'change':
     case 'key':
@@ -47,7 +47,7 @@
   }
 }
 
-/** Runs texts in the language against a backend. */
+/** Parses queries in the operator language and runs them against a backend. */
 export class QueryRunner {
   private readonly changes: ChangeRunner;
 
@@ -58,16 +58,15 @@
     this.changes = new ChangeRunner(backend);
   }
 
-  /** Parses and runs a text. */
   public async run(query: Query): Promise<QueryResult> {
     const parsed = await this.parser.parse(query.text);
     if (parsed.kind === 'faulty') return { errors: parsed.errors, kind: 'faults' };
     const { statement } = parsed;
     switch (statement.kind) {
       case 'question':
-        return this.answer(statement, query.text);
+        return this.answerQuestion(statement, query.text);
       case 'change':
-        return this.change(statement, query);
+        return this.runChange(statement, query);
       case 'wait': {
         const revision = statement.revision ?? this.backend.configuration().revision;
         return waitInForce(this.backend, revision, statement.upToMilliseconds);
@@ -75,17 +74,17 @@
     }
   }
 
-  private async answer(
+  private async answerQuestion(
     statement: QuestionStatement,
     text: string,
-  ): Promise<FaultsResult | RowsResult> {
+  ): Promise<InvalidQueryResult | RowsResult> {
     const errors = checkQuestion(statement);
     if (errors.length > 0) return { errors, kind: 'faults' };
     const { question } = statement;
     const [own, gathered] = await Promise.all([
       question.kind === 'change'
-        ? this.changes.rows(question.changeId)
-        : this.backend.rows(question),
+        ? this.changes.rowsOfChange(question.changeId)
+        : this.backend.localRows(question),
       this.gather(statement, text),
     ]);
     const configuration = this.backend.configuration();
@@ -105,15 +104,15 @@
   }
 
   private gather(statement: QuestionStatement, text: string): Promise<GatheredRows> {
-    const gathered = gatheredQuestion(statement, text);
-    if (gathered === undefined) return Promise.resolve(nothingGathered);
+    const gathered = questionForPeers(statement, text);
+    if (gathered === undefined) return Promise.resolve(emptyGatheredRows);
     return this.backend.gather(gathered, { deadlineMilliseconds: gatherDeadlineMilliseconds });
   }
 
-  private async change(
+  private async runChange(
     statement: ChangeStatement,
     query: Query,
-  ): Promise<ChangeResult | FaultsResult> {
+  ): Promise<ChangeResult | InvalidQueryResult> {
     const changeId = query.changeId ?? randomUUID();
     const result = await this.changes.run({ changeId, statement, text: query.text });
     const { wait } = statement;
--- a/packages/operators/src/questions/combine-rows.ts
+++ b/packages/operators/src/questions/combine-rows.ts
@@ -22,7 +22,7 @@
   return rows.reduce((highest, row) => Math.max(highest, numberOf(row, field)), 0);
 }
 
-/** Groups rows by the values of some fields, in order of those values. */
+/** Groups rows by the values of the given fields, sorted by those values. */
 function groupBy(rows: readonly Row[], fields: readonly string[]): (readonly [Row, Row[]])[] {
   const groups = new Map<string, readonly [Row, Row[]]>();
   for (const row of rows) {
@@ -58,7 +58,7 @@
   });
 }
 
-function combineUse(rows: readonly Row[], fields: readonly string[]): readonly Row[] {
+function combineUsage(rows: readonly Row[], fields: readonly string[]): readonly Row[] {
   return groupBy(rows, fields).map(([names, members]) => ({
     ...names,
     in_flight: sum(members, 'in_flight'),
@@ -67,7 +67,7 @@
 }
 
 function combineTenants(rows: readonly Row[], configuration: Configuration): readonly Row[] {
-  // Declared tenants are shown with zero use as well.
+  // Declared tenants are also listed if they have no requests.
   const declared = Object.values(configuration.services).flatMap((service) =>
     service.tenants.map(({ tenant }) => ({
       in_flight: 0,
@@ -76,7 +76,7 @@
       tenant,
     })),
   );
-  return combineUse([...rows, ...declared], ['service', 'tenant']).map((row) => {
+  return combineUsage([...rows, ...declared], ['service', 'tenant']).map((row) => {
     const service = findService(configuration, textOf(row, 'service'));
     const share = service?.tenants.find(({ tenant }) => tenant === row.tenant);
     return { ...row, declared: share !== undefined, weight: share?.weight ?? 1 };
@@ -93,8 +93,8 @@
     .sort((left, right) => numberOf(right, 'count') - numberOf(left, 'count'));
 }
 
-/** Sorts rows by the texts of some fields, so that an answer does not depend on which node was fastest. */
-function inOrderOf(rows: readonly Row[], ...fields: readonly string[]): readonly Row[] {
+/** Sorts rows by text fields, so that the result does not depend on the order in which nodes answer. */
+function sortByTextFields(rows: readonly Row[], ...fields: readonly string[]): readonly Row[] {
   const keyOf = (row: Row): string => fields.map((field) => textOf(row, field)).join('\n');
   return [...rows].sort((left, right) => {
     const [leftKey, rightKey] = [keyOf(left), keyOf(right)];
@@ -102,7 +102,7 @@
   });
 }
 
-/** Turns the rows of all nodes into the rows of the answer. */
+/** Combines the rows of all nodes into the rows of the answer. */
 export function combineRows(
   question: Question,
   rows: readonly Row[],
@@ -110,7 +110,7 @@
 ): readonly Row[] {
   switch (question.kind) {
     case 'load':
-      if (question.by === 'tenant') return combineUse(rows, ['tenant']);
+      if (question.by === 'tenant') return combineUsage(rows, ['tenant']);
       return combineLoad(
         rows,
         question.by === 'server' ? ['server', 'zone', 'service', 'state'] : [question.by],
@@ -120,23 +120,23 @@
     case 'tenants':
       return combineTenants(rows, configuration);
     case 'revision':
-      return inOrderOf(rows, 'server').map((row) => ({
+      return sortByTextFields(rows, 'server').map((row) => ({
         ...row,
         in_force: numberOf(row, 'revision') >= configuration.revision,
       }));
     case 'request':
-      return inOrderOf(rows, 'at');
+      return sortByTextFields(rows, 'at');
     case 'requests':
-      // Newest first; the rows of one moment stay in their order.
-      return [...inOrderOf([...rows].reverse(), 'at')].reverse();
+      // Newest first. The double reversal keeps the order of rows with equal times.
+      return [...sortByTextFields([...rows].reverse(), 'at')].reverse();
     case 'budgets':
-      return inOrderOf(rows, 'server', 'budget', 'service');
+      return sortByTextFields(rows, 'server', 'budget', 'service');
     case 'homes':
-      return inOrderOf(rows, 'service', 'server');
+      return sortByTextFields(rows, 'service', 'server');
     case 'members':
-      return inOrderOf(rows, 'zone', 'server');
+      return sortByTextFields(rows, 'zone', 'server');
     case 'platform':
-      return inOrderOf(rows, 'server');
+      return sortByTextFields(rows, 'server');
     case 'change':
     case 'configuration':
     case 'key':
--- a/packages/operators/src/questions/local-rows.ts
+++ b/packages/operators/src/questions/local-rows.ts
@@ -4,19 +4,19 @@
 import type { MemberView, NodeView } from '../node-view.js';
 import { requestRow, stepRows } from '../observation/journal-rows.js';
 import type { RefusalHistory } from '../observation/refusal-history.js';
-import { isEntryOf, type RequestJournal } from '../observation/request-journal.js';
-import { isDrained, liveMembers } from './drained.js';
+import { isRecordedByEntry, type RequestJournal } from '../observation/request-journal.js';
+import { isDrained, liveMembers } from './member-status.js';
 import type { Row } from './rows.js';
 
-/** Time covered by `show refusals` without `since`. */
+/** Period that `show refusals` covers without `since`. */
 export const defaultRefusalsMilliseconds = 600_000;
 
-/** What a node's own rows are read from. */
+/** The sources of a node's own rows. */
 export interface LocalSources {
   readonly view: NodeView;
   readonly journal: RequestJournal;
   readonly refusals: RefusalHistory;
-  /** Wall clock. */
+  /** Wall-clock time in Unix milliseconds. */
   readonly now: () => number;
 }
 
@@ -50,23 +50,27 @@
   }));
 }
 
-function serviceRow(configuration: Configuration, name: string, all: readonly MemberView[]): Row {
-  const members = liveMembers(all);
+function serviceRow(
+  configuration: Configuration,
+  name: string,
+  allMembers: readonly MemberView[],
+): Row {
+  const members = liveMembers(allMembers);
   const isLeaving = (member: MemberView): boolean =>
     member.state === 'draining' || isDrained(configuration, member);
-  const staying = members.filter((member) => !isLeaving(member));
+  const remaining = members.filter((member) => !isLeaving(member));
   const count = (state: MemberState): number =>
-    staying.filter((member) => member.state === state).length;
-  const working = staying.filter(({ state }) => state === 'serving' || state === 'warming');
+    remaining.filter((member) => member.state === state).length;
+  const accepting = remaining.filter(({ state }) => state === 'serving' || state === 'warming');
   const isDeclared = Object.hasOwn(configuration.services, name);
   return {
     declared: isDeclared,
-    draining: members.length - staying.length,
+    draining: members.length - remaining.length,
     request_kinds: isDeclared ? (configuration.services[name]?.requestKinds.length ?? 0) : 0,
     servers: members.length,
     service: name,
     serving: count('serving'),
-    slots: working.reduce((total, { slots }) => total + slots, 0),
+    slots: accepting.reduce((total, { slots }) => total + slots, 0),
     suspect: count('suspect'),
     warming: count('warming'),
   };
@@ -105,8 +109,8 @@
   ];
 }
 
-function useRows(view: NodeView): readonly Row[] {
-  return view.tenantUse().map(({ inFlight, queued, service, tenant }) => ({
+function tenantUsageRows(view: NodeView): readonly Row[] {
+  return view.tenantUsage().map(({ inFlight, queued, service, tenant }) => ({
     in_flight: inFlight,
     queued,
     service,
@@ -127,8 +131,14 @@
 }
 
 function platformRows({ now, view }: LocalSources): readonly Row[] {
-  const { calls, failedCalls, lastAnswerAt, latencyMilliseconds, reachable, watching } =
-    view.platform();
+  const {
+    calls,
+    failedCalls,
+    lastAnswerAt,
+    latencyMilliseconds,
+    isReachable: reachable,
+    isWatching: watching,
+  } = view.platformStatus();
   return [
     {
       calls,
@@ -159,7 +169,7 @@
 }
 
 async function keyRows(view: NodeView, service: string, key: string): Promise<readonly Row[]> {
-  const answer = await view.key(service, key);
+  const answer = await view.findKey(service, key);
   return [
     {
       home: answer?.home ?? null,
@@ -176,7 +186,7 @@
   return entry === undefined ? [] : stepRows(entry, view.identity.server);
 }
 
-/** This node's rows for a question. The rows of `change` come from the change runner. */
+/** This node's rows for a question. The rows for `show change` come from `ChangeRunner` instead. */
 export async function localRows(
   sources: LocalSources,
   question: Question,
@@ -195,7 +205,7 @@
     case 'key':
       return keyRows(view, question.service, question.key);
     case 'load':
-      return question.by === 'tenant' ? useRows(view) : loadRows(view, view.load());
+      return question.by === 'tenant' ? tenantUsageRows(view) : loadRows(view, view.load());
     case 'members':
       return memberRows(view);
     case 'platform':
@@ -207,13 +217,13 @@
     case 'requests':
       return journal
         .entries()
-        .filter(isEntryOf)
+        .filter(isRecordedByEntry)
         .map((entry) => requestRow(entry, server));
     case 'revision':
       return [{ revision: view.configuration().revision, server, zone: availabilityZone }];
     case 'services':
       return serviceRows(view);
     case 'tenants':
-      return useRows(view);
+      return tenantUsageRows(view);
   }
 }
--- a/packages/operators/src/questions/drained.ts
+++ b/packages/operators/src/questions/member-status.ts
@@ -2,7 +2,7 @@
 
 import type { MemberView } from '../node-view.js';
 
-/** Whether an operator drains a member or its availability zone. */
+/** Whether an operator has drained a member or its availability zone. */
 export function isDrained(configuration: Configuration, member: MemberView): boolean {
   return (
     configuration.drainedServers.includes(member.server) ||
@@ -10,7 +10,7 @@
   );
 }
 
-/** The members that are neither dead nor gone. */
+/** The members that are neither dead nor have left the cluster. */
 export function liveMembers(members: readonly MemberView[]): readonly MemberView[] {
   return members.filter(({ state }) => state !== 'dead' && state !== 'left');
 }
--- a/packages/operators/src/questions/rows.ts
+++ b/packages/operators/src/questions/rows.ts
@@ -1,10 +1,10 @@
-/** A cell of a result. `null` stands for a value that is not known or does not apply. */
+/** A value in a row. `null` means that the value is unknown or does not apply. */
 export type RowValue = boolean | number | string | null;
 
-/** A line of a result; the keys are field names. */
+/** A row of a result, keyed by field name. */
 export type Row = Readonly<Record<string, RowValue>>;
 
-/** Type of the values of a field. */
+/** Type of a field's values. */
 export const FieldType = {
   Boolean: 'boolean',
   Number: 'number',
@@ -12,7 +12,7 @@
 } as const;
 export type FieldType = (typeof FieldType)[keyof typeof FieldType];
 
-/** Unit of a number. A duration in a condition is converted to the unit of its field. */
+/** Unit of a numeric field. A duration in a condition is converted to the unit of the field. */
 export const FieldUnit = {
   Bytes: 'bytes',
   Milliseconds: 'milliseconds',
@@ -21,7 +21,7 @@
 } as const;
 export type FieldUnit = (typeof FieldUnit)[keyof typeof FieldUnit];
 
-/** A field that `where` and `sort by` accept. */
+/** A field of a row, which `where` and `sort by` accept. */
 export interface FieldDefinition {
   readonly name: string;
   readonly type: FieldType;
--- a/packages/operators/src/questions/select-rows.ts
+++ b/packages/operators/src/questions/select-rows.ts
@@ -10,23 +10,26 @@
 import { fieldsOf } from './fields.js';
 import { FieldType, FieldUnit, type FieldDefinition, type Row, type RowValue } from './rows.js';
 
-/** Most rows that an answer contains; a larger `limit` is a fault. */
+/** Maximum number of rows in an answer; a larger `limit` is an error. */
 export const maximumLimit = 10_000;
-/** Rows shown when a question has no limit. */
+/** Number of rows returned for a question without `limit`. */
 export const defaultLimit = 1_000;
 
-/** The rows that a question shows. */
+/** The rows that a question selects. */
 export interface SelectedRows {
   readonly rows: readonly Row[];
-  /** How many rows fulfil the conditions, shown or not. */
+  /** Number of rows that fulfil the conditions, including those cut off by the limit. */
   readonly matched: number;
 }
 
-function findField(statement: QuestionStatement, name: string): FieldDefinition | undefined {
+function findFieldDefinition(
+  statement: QuestionStatement,
+  name: string,
+): FieldDefinition | undefined {
   return fieldsOf(statement.question).find((field) => field.name === name);
 }
 
-function unknownField(statement: QuestionStatement, field: Name): LanguageError {
+function createUnknownFieldError(statement: QuestionStatement, field: Name): LanguageError {
   return createLanguageError({
     ...field.position,
     expected: fieldsOf(statement.question).map(({ name }) => `\`${name}\``),
@@ -34,7 +37,7 @@
   });
 }
 
-function convert(condition: Condition, field: FieldDefinition): RowValue {
+function convertValue(condition: Condition, field: FieldDefinition): RowValue {
   const { value } = condition;
   if (field.type === FieldType.Text) return value.kind === 'text' ? value.value : null;
   if (field.type === FieldType.Boolean) {
@@ -55,8 +58,8 @@
 }
 
 function checkCondition(statement: QuestionStatement, condition: Condition): LanguageError[] {
-  const field = findField(statement, condition.field.text);
-  if (field === undefined) return [unknownField(statement, condition.field)];
+  const field = findFieldDefinition(statement, condition.field.text);
+  if (field === undefined) return [createUnknownFieldError(statement, condition.field)];
   if (condition.comparison === 'contains' && field.type !== FieldType.Text) {
     return [
       createLanguageError({
@@ -66,7 +69,7 @@
       }),
     ];
   }
-  if (convert(condition, field) !== null) return [];
+  if (convertValue(condition, field) !== null) return [];
   return [
     createLanguageError({
       ...condition.valuePosition,
@@ -80,12 +83,12 @@
   return Number.isInteger(limit) && limit >= 1 && limit <= maximumLimit;
 }
 
-/** Checks fields, values and limit of a question. */
+/** Checks the fields, the values and the limit in a question. */
 export function checkQuestion(statement: QuestionStatement): readonly LanguageError[] {
   const errors = statement.conditions.flatMap((condition) => checkCondition(statement, condition));
   const { limit, order } = statement;
-  if (order !== undefined && findField(statement, order.field.text) === undefined) {
-    errors.push(unknownField(statement, order.field));
+  if (order !== undefined && findFieldDefinition(statement, order.field.text) === undefined) {
+    errors.push(createUnknownFieldError(statement, order.field));
   }
   if (limit !== undefined && !isAllowedLimit(limit.value)) {
     errors.push(
@@ -106,7 +109,7 @@
   return left < right ? -1 : 1;
 }
 
-function fulfils(value: RowValue, comparison: Comparison, wanted: RowValue): boolean {
+function satisfies(value: RowValue, comparison: Comparison, wanted: RowValue): boolean {
   if (value === null) return comparison === '!=';
   switch (comparison) {
     case 'contains':
@@ -128,13 +131,13 @@
 
 function matches(statement: QuestionStatement, row: Row): boolean {
   return statement.conditions.every((condition) => {
-    const field = findField(statement, condition.field.text);
+    const field = findFieldDefinition(statement, condition.field.text);
     if (field === undefined) return false;
-    return fulfils(row[field.name] ?? null, condition.comparison, convert(condition, field));
+    return satisfies(row[field.name] ?? null, condition.comparison, convertValue(condition, field));
   });
 }
 
-/** Filters, sorts and limits rows. The statement has passed `checkQuestion`. */
+/** Filters, sorts and limits rows. The statement must have passed `checkQuestion`. */
 export function selectRows(statement: QuestionStatement, rows: readonly Row[]): SelectedRows {
   const matching = rows.filter((row) => matches(statement, row));
   const { order } = statement;
--- a/packages/operators/src/render-table.ts
+++ b/packages/operators/src/render-table.ts
@@ -4,21 +4,21 @@
 import { FieldType, type RowValue } from './questions/rows.js';
 import type { ChangeResult, InForceResult, QueryResult, RowsResult } from './results.js';
 
-/** Whole numbers are shown whole, others with four significant digits or, from 1,000 on, without a fraction. */
-function numberText(value: number): string {
+/** Prints integers in full, other numbers with four significant digits or, from 1,000, without a fraction. */
+function formatNumber(value: number): string {
   if (Number.isInteger(value)) return String(value);
   return Math.abs(value) >= 1_000 ? value.toFixed(0) : String(Number(value.toPrecision(4)));
 }
 
-function cell(value: RowValue | undefined): string {
+function renderCell(value: RowValue | undefined): string {
   if (value === null || value === undefined) return '-';
-  if (typeof value === 'number') return numberText(value);
-  // Names come from callers and upstreams, so control characters must not reach the terminal.
+  if (typeof value === 'number') return formatNumber(value);
+  // Callers and upstreams choose some of the names, so control characters must not reach the terminal.
   // eslint-disable-next-line no-control-regex
   return String(value).replace(/[\u0000-\u0009\u000b-\u001f\u007f-\u009f]/g, '?');
 }
 
-function counted(count: number, noun: string): string {
+function formatCount(count: number, noun: string): string {
   return `${count} ${noun}${count === 1 ? '' : 's'}`;
 }
 
@@ -40,12 +40,14 @@
 }
 
 function renderMissing(missing: readonly MissingNode[]): readonly string[] {
-  return missing.map(({ cause, server }) => `no answer from ${cell(server)}: ${cell(cause)}`);
+  return missing.map(
+    ({ cause, server }) => `no answer from ${renderCell(server)}: ${renderCell(cause)}`,
+  );
 }
 
 function renderLacking(lacking: readonly NodeRevision[], revision: number): readonly string[] {
   return lacking.map(
-    (node) => `${cell(node.server)} has revision ${node.revision}, not ${revision}`,
+    (node) => `${renderCell(node.server)} has revision ${node.revision}, not ${revision}`,
   );
 }
 
@@ -53,29 +55,31 @@
   const header = result.fields.map(({ name }) => name);
   const isConfiguration = header.includes('declaration');
   const body = isConfiguration
-    ? result.rows.map((row) => cell(row.declaration)).join('\n')
+    ? result.rows.map((row) => renderCell(row.declaration)).join('\n')
     : renderGrid(
         [
           header,
-          ...result.rows.map((row) => header.map((name) => cell(row[name]).replace(/\n/g, ' '))),
+          ...result.rows.map((row) =>
+            header.map((name) => renderCell(row[name]).replace(/\n/g, ' ')),
+          ),
         ],
         result.fields.map(({ type }) => type === FieldType.Number),
       );
   const hidden = result.matched - result.rows.length;
   return [
     body,
-    `${counted(result.rows.length, 'row')}, ${counted(result.answered, 'node')}, revision ${result.revision}`,
-    // Other nodes send no more rows than the limit, so there may be more than are known here.
+    `${formatCount(result.rows.length, 'row')}, ${formatCount(result.answered, 'node')}, revision ${result.revision}`,
+    // Each node sends no more rows than the limit, so more rows may match than this node received.
     ...(hidden > 0
-      ? [`at least ${counted(hidden, 'more row')} match; raise the limit or add conditions`]
+      ? [`at least ${formatCount(hidden, 'more row')} match; raise the limit or add conditions`]
       : []),
     ...renderLacking(result.lacking, result.revision),
     ...renderMissing(result.missing),
   ].join('\n');
 }
 
-function renderRest(count: number, what: string): readonly string[] {
-  return count > 0 ? [`${count} ${what}`] : [];
+function renderOmittedCount(count: number, description: string): readonly string[] {
+  return count > 0 ? [`${count} ${description}`] : [];
 }
 
 function renderInForce(result: InForceResult): string {
@@ -83,9 +87,9 @@
   return [
     `revision ${result.revision}: ${state}`,
     ...renderLacking(result.lacking, result.revision),
-    ...renderRest(result.lackingCount - result.lacking.length, 'more lack it'),
+    ...renderOmittedCount(result.lackingCount - result.lacking.length, 'more lack it'),
     ...renderMissing(result.missing),
-    ...renderRest(result.missingCount - result.missing.length, 'more did not answer'),
+    ...renderOmittedCount(result.missingCount - result.missing.length, 'more did not answer'),
   ].join('\n');
 }
 
@@ -95,14 +99,15 @@
   return [
     `${result.status}${revision}, change ${result.changeId}`,
     ...result.difference.map(
-      ({ change, clause, object }) => `${signs[change]} ${cell(object)}: ${cell(clause)}`,
+      ({ change, clause, object }) =>
+        `${signs[change]} ${renderCell(object)}: ${renderCell(clause)}`,
     ),
-    ...result.notes.map((note) => `note: ${cell(note)}`),
+    ...result.notes.map((note) => `note: ${renderCell(note)}`),
     ...(result.inForce === undefined ? [] : [renderInForce(result.inForce)]),
   ].join('\n');
 }
 
-/** Renders a result as text for a terminal; the text of the query is needed to mark faults in it. */
+/** Renders a result as text for a terminal. The text of the query is needed to mark errors in it. */
 export function renderTable(result: QueryResult, text: string): string {
   switch (result.kind) {
     case 'rows':
@@ -112,6 +117,6 @@
     case 'in-force':
       return renderInForce(result);
     case 'faults':
-      return result.errors.map((error) => cell(markError(text, error))).join('\n');
+      return result.errors.map((error) => renderCell(markError(text, error))).join('\n');
   }
 }
--- a/packages/operators/src/results.ts
+++ b/packages/operators/src/results.ts
@@ -9,42 +9,42 @@
   readonly kind: 'rows';
   readonly fields: readonly FieldDefinition[];
   readonly rows: readonly Row[];
-  /** Rows that fulfil the conditions, shown or not. */
+  /** Number of rows that fulfil the conditions, including those cut off by the limit. */
   readonly matched: number;
-  /** Revision in force on the node that was asked. */
+  /** Configuration revision in force on the node that received the query. */
   readonly revision: number;
-  /** Nodes whose rows are part of the answer, this one included. */
+  /** Number of nodes whose rows are part of the answer, including the one that received the query. */
   readonly answered: number;
   readonly missing: readonly MissingNode[];
-  /** Nodes with a lower revision; present where the question is about the configuration. */
+  /** Nodes with a lower revision. Filled only for `show configuration` and `show revision`. */
   readonly lacking: readonly NodeRevision[];
 }
 
-/** Whether a revision is in force everywhere. */
+/** Whether a revision is in force on every node. */
 export interface InForceResult {
   readonly kind: 'in-force';
   readonly revision: number;
   readonly everywhere: boolean;
-  /** Some of the nodes that lack it. */
+  /** Some of the nodes with a lower revision; `lackingCount` counts all of them. */
   readonly lacking: readonly NodeRevision[];
   readonly lackingCount: number;
-  /** Some of the nodes whose revision is not known. */
+  /** Some of the nodes whose revision is unknown; `missingCount` counts all of them. */
   readonly missing: readonly MissingNode[];
   readonly missingCount: number;
 }
 
-/** What became of a change. */
+/** The outcome of a change. */
 export const ChangeStatus = {
-  /** Committed; it comes into force everywhere and never reverts. */
+  /** Committed: it comes into force on every node and is never reverted. */
   Accepted: 'accepted',
-  /** Another change of the same parts came first; this one was not made. */
+  /** Not committed, because another change to the same objects was committed first. */
   Conflict: 'conflict',
-  /** Nothing was proposed. */
+  /** Checked only; nothing was proposed. */
   DryRun: 'dry-run',
   Rejected: 'rejected',
-  /** The configuration already is what the change asks for. */
+  /** Nothing was proposed, because the configuration already matches the change. */
   Unchanged: 'unchanged',
-  /** Nobody can say yet whether the change holds; ask with `show change <id>`. */
+  /** It is unknown whether the change was committed; `show change <id>` looks it up. */
   Unresolved: 'unresolved',
 } as const;
 export type ChangeStatus = (typeof ChangeStatus)[keyof typeof ChangeStatus];
@@ -55,20 +55,20 @@
   readonly status: ChangeStatus;
   readonly changeId: string;
   readonly baseRevision: number;
-  /** The new revision, or the one that the change lost against. */
+  /** The new revision, or the one that the change conflicts with. */
   readonly revision: number | undefined;
   readonly difference: readonly ConfigurationDifference[];
-  /** What an operator should know before or after the change. */
+  /** Warnings about the change, and the reason for a conflict or a rejection. */
   readonly notes: readonly string[];
-  /** Present after `wait`. */
+  /** Defined if the change was to be waited for with `wait`. */
   readonly inForce: InForceResult | undefined;
 }
 
-/** The text has faults; nothing was done. */
-export interface FaultsResult {
+/** The query is invalid; nothing was done. */
+export interface InvalidQueryResult {
   readonly kind: 'faults';
   readonly errors: readonly LanguageError[];
 }
 
-/** Every result of a query. */
-export type QueryResult = ChangeResult | FaultsResult | InForceResult | RowsResult;
+/** The result of a query. */
+export type QueryResult = ChangeResult | InvalidQueryResult | InForceResult | RowsResult;
--- a/packages/operators/src/server/operator-server.ts
+++ b/packages/operators/src/server/operator-server.ts
@@ -7,23 +7,22 @@
 import { QueryRunner } from '../query-runner.js';
 import { renderTable } from '../render-table.js';
 import type { QueryResult } from '../results.js';
-import { Output, parseQueryBody, readBody } from './query-body.js';
-import { SecretCheck, type AcceptedSecrets } from './secret-check.js';
+import { OutputFormat, parseQueryBody, readBody } from './query-body.js';
+import { SecretVerifier, type AcceptedSecrets } from './secret-verifier.js';
 
-/** Bounds of the operator port. */
+/** Limits of the operator port. */
 export interface OperatorServerLimits {
   readonly bodyBytes: number;
   readonly headerBytes: number;
   readonly connections: number;
-  /** Queries that run at once; further ones are answered 503. */
+  /** Queries that run concurrently; further ones get a 503 response. */
   readonly concurrentQueries: number;
-  /** Time in which a client has to send its request. */
+  /** Time within which a client has to send its whole request. */
   readonly requestTimeoutMilliseconds: number;
 }
 
-/** Bounds that hold unless others are given. */
 export const defaultOperatorServerLimits: OperatorServerLimits = {
-  // The longest text in the language, with room for its JSON escapes.
+  // The longest statement of the language, with room for JSON escapes.
   bodyBytes: 600_000,
   concurrentQueries: 16,
   connections: 64,
@@ -31,7 +30,6 @@
   requestTimeoutMilliseconds: 10_000,
 };
 
-/** What an operator server is made of. */
 export interface OperatorServerOptions {
   readonly backend: OperatorBackend;
   readonly parser: StatementParser;
@@ -40,9 +38,9 @@
   readonly limits?: Partial<OperatorServerLimits> | undefined;
 }
 
-const jsonType = 'application/json; charset=utf-8';
+const jsonContentType = 'application/json; charset=utf-8';
 
-/** HTTP status of each result. */
+/** HTTP status for a result. */
 function statusOf(result: QueryResult): number {
   if (result.kind === 'faults') return 400;
   if (result.kind !== 'change') return 200;
@@ -60,18 +58,18 @@
   }
 }
 
-/** The operators' HTTP port: `POST /query`, `GET /metrics`, `GET /health`, `GET /ready`. */
+/** HTTP server for operators: `POST /query`, `GET /metrics`, `GET /health` and `GET /ready`. */
 export class OperatorServer {
   private readonly server: Server;
   private readonly runner: QueryRunner;
-  private readonly secretCheck: SecretCheck;
+  private readonly secretVerifier: SecretVerifier;
   private readonly limits: OperatorServerLimits;
   private runningQueries = 0;
 
   public constructor(private readonly options: OperatorServerOptions) {
     this.limits = { ...defaultOperatorServerLimits, ...options.limits };
     this.runner = new QueryRunner(options.backend, options.parser);
-    this.secretCheck = new SecretCheck(options.secrets);
+    this.secretVerifier = new SecretVerifier(options.secrets);
     this.server = createServer(
       {
         connectionsCheckingInterval: 1_000,
@@ -80,13 +78,13 @@
         requestTimeout: this.limits.requestTimeoutMilliseconds,
       },
       (request, response) => {
-        void this.handle(request, response);
+        void this.handleRequest(request, response);
       },
     );
     this.server.maxConnections = this.limits.connections;
   }
 
-  /** Listens; resolves with the port, which differs from the given one if that is 0. */
+  /** Starts listening. Resolves with the port, which the system chooses if the given port is 0. */
   public listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -97,7 +95,7 @@
     });
   }
 
-  /** Closes the port and every connection. */
+  /** Stops listening and closes all connections. */
   public close(): Promise<void> {
     return new Promise((resolve) => {
       this.server.close(() => {
@@ -107,50 +105,64 @@
     });
   }
 
-  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
-      await this.route(request, response);
+      await this.routeRequest(request, response);
     } catch (error) {
-      // A client that goes away while it sends its body lands here as well.
-      const message = error instanceof Error ? error.message : 'unknown fault';
-      this.fail(response, 500, message);
+      // Also reached when a client disconnects while it sends its body.
+      const message = error instanceof Error ? error.message : 'unknown error';
+      this.sendFailure(response, 500, message);
     }
   }
 
-  private async route(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async routeRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const path = (request.url ?? '').split('?')[0] ?? '';
     const route = `${request.method ?? ''} ${path}`;
-    // Health and readiness are open: whatever starts the process asks them, and they tell no names.
+    // Health and readiness need no secret: the supervisor of the process polls them, and they reveal no
+    // names.
     if (route === 'GET /health') {
-      this.send(response, 200, jsonType, JSON.stringify({ alive: true }));
+      this.sendResponse(response, 200, jsonContentType, JSON.stringify({ alive: true }));
       return;
     }
     if (route === 'GET /ready') {
       const readiness = this.options.backend.readiness();
-      this.send(response, readiness.ready ? 200 : 503, jsonType, JSON.stringify(readiness));
+      this.sendResponse(
+        response,
+        readiness.ready ? 200 : 503,
+        jsonContentType,
+        JSON.stringify(readiness),
+      );
       return;
     }
-    if (!this.secretCheck.accepts(request.headers.authorization)) {
+    if (!this.secretVerifier.accepts(request.headers.authorization)) {
       response.setHeader('WWW-Authenticate', 'Bearer');
-      this.fail(response, 401, 'the bearer secret is missing or wrong');
+      this.sendFailure(response, 401, 'the bearer secret is missing or invalid');
       return;
     }
     if (route === 'GET /metrics') {
       const { metrics } = this.options;
-      this.send(response, 200, metrics.contentType, await metrics.text());
+      this.sendResponse(response, 200, metrics.contentType, await metrics.text());
       return;
     }
     if (route === 'POST /query') {
-      await this.query(request, response);
+      await this.handleQuery(request, response);
       return;
     }
-    this.fail(response, 404, 'there are POST /query, GET /metrics, GET /health and GET /ready');
+    this.sendFailure(
+      response,
+      404,
+      'not found; the port serves POST /query, GET /metrics, GET /health and GET /ready',
+    );
   }
 
-  private async query(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleQuery(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (this.runningQueries >= this.limits.concurrentQueries) {
       response.setHeader('Retry-After', '1');
-      this.fail(response, 503, `${this.runningQueries} queries are running; try again`);
+      this.sendFailure(
+        response,
+        503,
+        `${this.runningQueries} queries are already running; try again later`,
+      );
       return;
     }
     this.runningQueries += 1;
@@ -165,24 +177,35 @@
     const body = await readBody(request, this.limits.bodyBytes);
     if (body === undefined) {
       response.setHeader('Connection', 'close');
-      this.fail(response, 413, `the body has more than ${this.limits.bodyBytes} bytes`);
+      this.sendFailure(response, 413, `the body is longer than ${this.limits.bodyBytes} bytes`);
       return;
     }
     const query = parseQueryBody(body);
     if (typeof query === 'string') {
-      this.fail(response, 400, query);
+      this.sendFailure(response, 400, query);
       return;
     }
     const result = await this.runner.run(query);
-    const table = query.output === Output.Table ? { table: renderTable(result, query.text) } : {};
-    this.send(response, statusOf(result), jsonType, JSON.stringify({ ...result, ...table }));
+    const table =
+      query.output === OutputFormat.Table ? { table: renderTable(result, query.text) } : {};
+    this.sendResponse(
+      response,
+      statusOf(result),
+      jsonContentType,
+      JSON.stringify({ ...result, ...table }),
+    );
   }
 
-  private fail(response: ServerResponse, status: number, message: string): void {
-    this.send(response, status, jsonType, JSON.stringify({ kind: 'failed', message }));
+  private sendFailure(response: ServerResponse, status: number, message: string): void {
+    this.sendResponse(
+      response,
+      status,
+      jsonContentType,
+      JSON.stringify({ kind: 'failed', message }),
+    );
   }
 
-  private send(response: ServerResponse, status: number, type: string, body: string): void {
+  private sendResponse(response: ServerResponse, status: number, type: string, body: string): void {
     if (response.headersSent || response.destroyed) return;
     response.writeHead(status, {
       'Cache-Control': 'no-store',
--- a/packages/operators/src/server/query-body.ts
+++ b/packages/operators/src/server/query-body.ts
@@ -2,16 +2,16 @@
 
 import type { Query } from '../query-runner.js';
 
-/** Forms in which a result is returned. */
-export const Output = { Json: 'json', Table: 'table' } as const;
-export type Output = (typeof Output)[keyof typeof Output];
+/** Format in which a result is returned. */
+export const OutputFormat = { Json: 'json', Table: 'table' } as const;
+export type OutputFormat = (typeof OutputFormat)[keyof typeof OutputFormat];
 
 /** The body of `POST /query`. */
 export interface QueryBody extends Query {
-  readonly output: Output;
+  readonly output: OutputFormat;
 }
 
-/** Reads a body up to a limit; undefined when it is longer. */
+/** Reads a body; undefined if it is longer than `maximumBytes`. */
 export async function readBody(
   request: IncomingMessage,
   maximumBytes: number,
@@ -26,23 +26,24 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-const changeIdForm = /^[A-Za-z0-9_.:-]{1,64}$/;
+const changeIdPattern = /^[A-Za-z0-9_.:-]{1,64}$/;
 
-/** Reads the JSON of a query; a string says what is wrong with it. */
+/** Parses the body of a query. Returns an error message if the body is invalid. */
 export function parseQueryBody(body: string): QueryBody | string {
   let value: unknown;
   try {
     value = JSON.parse(body);
   } catch {
-    return 'the body is not JSON';
+    return 'the body is not valid JSON';
   }
   if (typeof value !== 'object' || value === null) return 'the body is not a JSON object';
-  const { changeId, output = Output.Json, text } = value as Readonly<Record<string, unknown>>;
+  const { changeId, output = OutputFormat.Json, text } = value as Readonly<Record<string, unknown>>;
   if (typeof text !== 'string') return '`text` is not a string';
-  if (output !== Output.Json && output !== Output.Table) return '`output` is not `json` or `table`';
+  if (output !== OutputFormat.Json && output !== OutputFormat.Table)
+    return '`output` is not `json` or `table`';
   if (changeId === undefined) return { output, text };
-  if (typeof changeId !== 'string' || !changeIdForm.test(changeId)) {
-    return '`changeId` is not 1 to 64 letters, digits, dots, colons, underscores or hyphens';
+  if (typeof changeId !== 'string' || !changeIdPattern.test(changeId)) {
+    return '`changeId` does not consist of 1 to 64 letters, digits, dots, colons, underscores or hyphens';
   }
   return { changeId, output, text };
 }
--- a/packages/operators/src/server/secret-check.ts
+++ b/packages/operators/src/server/secret-verifier.ts
@@ -1,6 +1,6 @@
 import { createHash, timingSafeEqual } from 'node:crypto';
 
-/** Secrets that are accepted: the current one and, while they are being changed, the previous one. */
+/** The secrets that are accepted: the current one and, during a rotation, the previous one. */
 export interface AcceptedSecrets {
   readonly current: string;
   readonly previous?: string | undefined;
@@ -10,14 +10,14 @@
   return createHash('sha256').update(text).digest();
 }
 
-/** Checks bearer secrets in a time that depends on neither the secret nor which one matches. */
-export class SecretCheck {
-  private readonly accepted: readonly Buffer[];
+/** Verifies bearer secrets in constant time, independent of the secret and of which one matches. */
+export class SecretVerifier {
+  private readonly acceptedDigests: readonly Buffer[];
 
   public constructor(secrets: AcceptedSecrets) {
-    // An empty previous secret means that there is none; it must not accept an empty bearer.
+    // An empty previous secret means that there is none; it must not match an empty bearer token.
     const candidates = [secrets.current, secrets.previous ?? ''];
-    this.accepted = candidates.filter((secret) => secret !== '').map(digest);
+    this.acceptedDigests = candidates.filter((secret) => secret !== '').map(digest);
   }
 
   /** Whether an `Authorization` header carries an accepted secret. */
@@ -25,8 +25,8 @@
     const [, presented = ''] = /^Bearer ([\x21-\x7e]+)$/i.exec(authorization ?? '') ?? [];
     const presentedDigest = digest(presented);
     let isAccepted = false;
-    for (const accepted of this.accepted) {
-      // No early exit: the loop takes as long for a match as without one.
+    for (const accepted of this.acceptedDigests) {
+      // No early exit, so that the loop takes equally long whether a secret matches or not.
       isAccepted = timingSafeEqual(presentedDigest, accepted) || isAccepted;
     }
     return isAccepted;
--- a/packages/operators/tests/apply-commands.test.ts
+++ b/packages/operators/tests/apply-commands.test.ts
@@ -14,19 +14,19 @@
   return applyCommands(base, result.statement.commands);
 }
 
-function applied(base: Configuration, text: string): Configuration {
+function applyValid(base: Configuration, text: string): Configuration {
   const result = apply(base, text);
-  if (result.kind === 'invalid') throw new Error(result.faults[0]?.message);
+  if (result.kind === 'invalid') throw new Error(result.errors[0]?.message);
   return result.configuration;
 }
 
-const antrag = applied(
+const configurationWithAntrag = applyValid(
   emptyConfiguration,
   'declare service antrag request file POST "/claims" non-idempotent request read GET "/" idempotent tenant labs weight 2',
 );
 
-/** Change, place of the first fault, and words of its sentence. */
-const faults: readonly (readonly [string, number, string])[] = [
+/** Invalid change, column of its first error, part of the message. */
+const invalidChanges: readonly (readonly [string, number, string])[] = [
   ['change service parzellen ramp 1s', 16, 'service `parzellen`'],
   ['remove service parzellen', 16, 'a declared service'],
   ['change service antrag deadline default 2m', 40, 'from 1 to 60000 ms'],
@@ -52,29 +52,35 @@
   ['drain server "a b"', 14, 'server or zone name'],
 ];
 
-for (const [text, column, words] of faults) {
-  test(`an invalid change is refused and names field and range: ${text}`, () => {
-    const result = apply(antrag, text);
+for (const [text, column, words] of invalidChanges) {
+  test(`an invalid change gets an error that names the field and its range: ${text}`, () => {
+    const result = apply(configurationWithAntrag, text);
     assert.is(result.kind, 'invalid');
     if (result.kind !== 'invalid') return;
-    assert.is(result.faults[0]?.column, column);
-    assert.ok(result.faults[0]?.message.includes(words), result.faults[0]?.message);
+    assert.is(result.errors[0]?.column, column);
+    assert.ok(result.errors[0]?.message.includes(words), result.errors[0]?.message);
   });
 }
 
-test('one faulty command in a group keeps the others from taking effect', () => {
-  const result = apply(antrag, 'begin; drain server a; change service b ramp 1s; commit');
+test('an invalid command makes the whole group invalid', () => {
+  const result = apply(
+    configurationWithAntrag,
+    'begin; drain server a; change service b ramp 1s; commit',
+  );
   assert.is(result.kind, 'invalid');
 });
 
-test('a declaration replaces the service, so that what it leaves out does not linger', () => {
-  const next = applied(antrag, 'declare service antrag ramp 5s');
+test('a declaration replaces the whole service, including what it omits', () => {
+  const next = applyValid(configurationWithAntrag, 'declare service antrag ramp 5s');
   assert.equal(next.services.antrag?.requestKinds, []);
   assert.is(next.services.antrag?.rampMilliseconds, 5_000);
 });
 
-test('a request kind is placed where it matches first, and the new order is shown', () => {
-  const result = apply(antrag, 'change service antrag request read GET "/" idempotent before file');
+test('`before` moves a request kind, and the difference reports the new order', () => {
+  const result = apply(
+    configurationWithAntrag,
+    'change service antrag request read GET "/" idempotent before file',
+  );
   assert.is(result.kind, 'applied');
   if (result.kind !== 'applied') return;
   const names = result.configuration.services.antrag?.requestKinds.map(({ name }) => name);
@@ -82,27 +88,31 @@
   assert.is(result.difference[0]?.change, 'reordered');
 });
 
-test('draining twice and restoring leaves no second entry', () => {
-  const drained = applied(antrag, 'begin; drain zone thun-c; drain zone thun-c; commit');
+test('a zone that is drained twice is listed once and restored at once', () => {
+  const drained = applyValid(
+    configurationWithAntrag,
+    'begin; drain zone thun-c; drain zone thun-c; commit',
+  );
   assert.equal(drained.drainedAvailabilityZones, ['thun-c']);
-  assert.equal(applied(drained, 'restore zone thun-c').drainedAvailabilityZones, []);
+  assert.equal(applyValid(drained, 'restore zone thun-c').drainedAvailabilityZones, []);
 });
 
-test('a bound is set and lifted, and a new declaration sets none', () => {
+test('limits can be set and removed, and a new declaration removes them', () => {
   const text = 'change service antrag body maximum 0 queue maximum 5 tenant-in-flight maximum 3';
-  const bounded = applied(antrag, text).services.antrag;
+  const bounded = applyValid(configurationWithAntrag, text).services.antrag;
   assert.is(bounded?.maximumBodyBytes, 0);
   assert.is(bounded?.queueLength, 5);
   assert.is(bounded?.maximumTenantInFlight, 3);
   const lift = 'change service antrag body maximum off queue maximum off';
-  const lifted = applied(applied(antrag, text), lift).services.antrag;
+  const lifted = applyValid(applyValid(configurationWithAntrag, text), lift).services.antrag;
   assert.equal([lifted && 'maximumBodyBytes' in lifted, lifted?.queueLength], [false, undefined]);
   assert.is(lifted?.maximumTenantInFlight, 3);
-  const declared = applied(applied(antrag, text), 'declare service antrag').services.antrag;
+  const declared = applyValid(applyValid(configurationWithAntrag, text), 'declare service antrag')
+    .services.antrag;
   assert.is(declared?.maximumTenantInFlight, undefined);
 });
 
-const service = fc.record({
+const arbitraryService = fc.record({
   bounds: fc.record(
     {
       maximumBodyBytes: fc.integer({ max: 1_073_741_824, min: 0 }),
@@ -119,16 +129,16 @@
   tenants: fc.uniqueArray(fc.stringMatching(/^[\x21-\x7e]{1,8}$/), { maxLength: 4 }),
 });
 
-test('a printed service that is applied again is the same service', () => {
+test('applying the printed declaration of a service yields the same service', () => {
   fc.assert(
-    fc.property(service, (values) => {
+    fc.property(arbitraryService, (values) => {
       const original = {
         ...values.bounds,
         defaultDeadlineMilliseconds: values.default,
         hedging: values.hedging,
         maximumDeadlineMilliseconds: 60_000,
         name: 'a1',
-        // Shares below one billionth lose digits in the plain notation and have no effect anyway.
+        // Shares below one billionth lose digits in decimal notation and have no effect anyway.
         probeBudgetShare: Number(values.probe.toFixed(9)),
         rampMilliseconds: values.default,
         requestKinds: values.kinds.map((name) => ({
@@ -142,7 +152,7 @@
         tenants: values.tenants.map((tenant) => ({ tenant, weight: 1.5 })),
       };
       const printed = printService(original);
-      assert.equal(applied(emptyConfiguration, printed).services.a1, original, printed);
+      assert.equal(applyValid(emptyConfiguration, printed).services.a1, original, printed);
     }),
     { numRuns: 300, seed: 2 },
   );
--- a/packages/operators/tests/gathering.test.ts
+++ b/packages/operators/tests/gathering.test.ts
@@ -4,37 +4,37 @@
 
 import {
   answerNodeQuestion,
-  decodeAnswer,
+  decodeNodeAnswer,
   decodeZoneAnswer,
-  encodeQuestion,
+  encodeNodeQuestion,
   PeerGatherer,
   QueryRunner,
   revisionQuestion,
   type NodeQuestion,
 } from '../src/index.js';
-import { isGatheredStatement } from '../src/gathering/statement-check.js';
-import { createNode, directParser, nodeQuestion } from './in-memory-backend.js';
+import { isGatheredStatement } from '../src/gathering/statement-guards.js';
+import { createNode, directParser, parseNodeQuestion } from './in-memory-backend.js';
 
-test('rows of nodes that answer are kept, and the others are named with the cause', async () => {
+test('the result has the rows of nodes that answer, and lists the others with the cause', async () => {
   const other = createNode();
   const node = createNode({
     send: (server, frame: OperatorQuestionFrame) => {
       if (server === 'unreachable') return false;
       if (server === 'lost')
         setImmediate(() => {
-          node.gatherer.peerLost(server);
+          node.gatherer.onPeerLost(server);
         });
       if (server === 'answers') {
         void answerNodeQuestion(other.backend, frame.question).then((answer) => {
           const { questionId } = frame;
-          node.gatherer.answered(server, { answer, kind: 'operator-answer', questionId });
+          node.gatherer.onAnswer(server, { answer, kind: 'operator-answer', questionId });
         });
       }
       return true;
     },
     servers: () => ['answers', 'unreachable', 'lost', 'silent'],
   });
-  const gathered = await node.backend.gather(nodeQuestion('show load by zone'), {
+  const gathered = await node.backend.gather(parseNodeQuestion('show load by zone'), {
     deadlineMilliseconds: 50,
   });
   assert.is(gathered.rows.length, 1);
@@ -48,11 +48,11 @@
   );
 });
 
-test('an answer of a server that was not asked is not taken for the one that was', async () => {
+test('an answer from a server that was not asked is ignored', async () => {
   const gatherer: PeerGatherer = new PeerGatherer({
     send: (_, { questionId }) => {
       const answer = JSON.stringify({ kind: 'rows', revision: 9, rows: [] });
-      gatherer.answered('other', { answer, kind: 'operator-answer', questionId });
+      gatherer.onAnswer('other', { answer, kind: 'operator-answer', questionId });
       return true;
     },
     servers: () => ['asked'],
@@ -61,12 +61,12 @@
   assert.equal(gathered.revisions, []);
 });
 
-test('a wait names the node that lacks the revision', async () => {
+test('`wait` names the nodes that lack the revision', async () => {
   const answer = JSON.stringify({ kind: 'rows', revision: 0, rows: [] });
   const node = createNode({
     send: (server, { questionId }) => {
       setImmediate(() => {
-        node.gatherer.answered(server, { answer, kind: 'operator-answer', questionId });
+        node.gatherer.onAnswer(server, { answer, kind: 'operator-answer', questionId });
       });
       return true;
     },
@@ -82,7 +82,7 @@
 });
 
 const lackingNode = { revision: 0, server: 'a' };
-const untrueSurveys: readonly (readonly [string, unknown])[] = [
+const inconsistentSurveys: readonly (readonly [string, unknown])[] = [
   ['a count without a name', { lacking: { count: 1, named: [] }, members: 2 }],
   ['a name without a count', { lacking: { count: 0, named: [lackingNode] }, members: 2 }],
   ['more nodes than members', { lacking: { count: 1, named: [lackingNode] }, members: 0 }],
@@ -90,26 +90,28 @@
   ['no tally', { members: 2 }],
 ];
 
-for (const [name, survey] of untrueSurveys) {
-  test(`a zone's answer that does not add up is no answer: ${name}`, () => {
+for (const [name, survey] of inconsistentSurveys) {
+  test(`a zone survey with inconsistent counts is rejected: ${name}`, () => {
     const missing = { count: 0, named: [] };
     const answer = { kind: 'zone-survey', missing, ...(survey as object) };
     assert.is(decodeZoneAnswer(JSON.stringify(answer)).kind, 'failed');
   });
 }
 
-const malformed = ['', '{}', 'null', '[]', '{"kind":"rows","revision":1,"rows":[{"a":{}}]}'];
+const malformedAnswers = ['', '{}', 'null', '[]', '{"kind":"rows","revision":1,"rows":[{"a":{}}]}'];
 
-for (const payload of malformed) {
-  test(`a malformed answer counts as missing: ${payload}`, () => {
-    assert.is(decodeAnswer(payload).kind, 'failed');
+for (const payload of malformedAnswers) {
+  test(`a malformed answer is decoded as a failure: ${payload}`, () => {
+    assert.is(decodeNodeAnswer(payload).kind, 'failed');
   });
 }
 
-const question = nodeQuestion('show requests where service = antrag sort by at limit 3').statement;
+const question = parseNodeQuestion(
+  'show requests where service = antrag sort by at limit 3',
+).statement;
 const { conditions, limit, order } = question;
 const [condition] = conditions;
-const faultyStatements: readonly unknown[] = [
+const invalidStatements: readonly unknown[] = [
   undefined,
   null,
   { ...question, kind: 'change', commands: [] },
@@ -125,7 +127,7 @@
   { ...question, limit: { ...limit, value: '3' } },
   { ...question, order: { ...order, descending: 1 } },
 ];
-const faultyPayloads = faultyStatements.map((statement) => JSON.stringify({ statement }));
+const invalidPayloads = invalidStatements.map((statement) => JSON.stringify({ statement }));
 
 for (const text of [
   'show requests where service = antrag and retries > 1 sort by at descending limit 3',
@@ -139,18 +141,18 @@
   'show revision',
   'show tenants',
 ]) {
-  test(`the statement of a question reaches the other node unchanged: ${text}`, () => {
-    const sent = nodeQuestion(text).statement;
-    const { statement } = JSON.parse(encodeQuestion({ statement: sent, text })) as NodeQuestion;
+  test(`the statement of a question is unchanged after encoding and decoding: ${text}`, () => {
+    const sent = parseNodeQuestion(text).statement;
+    const { statement } = JSON.parse(encodeNodeQuestion({ statement: sent, text })) as NodeQuestion;
     assert.ok(isGatheredStatement(statement));
     assert.equal({ ...sent, ...statement }, sent);
   });
 }
 
-for (const payload of ['', '{}', JSON.stringify({ text: 'show revision' }), ...faultyPayloads]) {
-  test(`a node refuses anything but a question from another node: ${payload}`, async () => {
+for (const payload of ['', '{}', JSON.stringify({ text: 'show revision' }), ...invalidPayloads]) {
+  test(`a node rejects a payload that is not a question between nodes: ${payload}`, async () => {
     const { backend, changes } = createNode();
-    assert.is(decodeAnswer(await answerNodeQuestion(backend, payload)).kind, 'failed');
+    assert.is(decodeNodeAnswer(await answerNodeQuestion(backend, payload)).kind, 'failed');
     assert.is(changes.proposals, 0);
   });
 }
--- a/packages/operators/tests/in-memory-backend.ts
+++ b/packages/operators/tests/in-memory-backend.ts
@@ -21,22 +21,22 @@
   type StatementParser,
 } from '../src/index.js';
 
-/** Parses without a worker thread, so that tests don't wait for its start. */
+/** Parses without a worker thread, so that tests do not wait for it to start. */
 export const directParser: StatementParser = {
   parse: (text) => Promise.resolve(parseStatement(text)),
 };
 
-/** A question to other nodes, as a node that parsed its text sends it. */
-export function nodeQuestion(text: string): NodeQuestion {
+/** Parses a question to the form in which a node sends it to other nodes. */
+export function parseNodeQuestion(text: string): NodeQuestion {
   const parsed = parseStatement(text);
   if (parsed.kind === 'faulty' || parsed.statement.kind !== 'question') {
-    throw new Error(`no question: ${text}`);
+    throw new Error(`not a question: ${text}`);
   }
   return { statement: parsed.statement, text };
 }
 
-/** A member record with everything that a test doesn't care about filled in. */
-export function member(
+/** Creates a member record, with defaults for the fields that tests do not vary. */
+export function createMember(
   server: string,
   service: string,
   availabilityZone = 'bern-a',
@@ -55,13 +55,13 @@
   };
 }
 
-/** Commits changes in memory; its answers can be lost. */
+/** Commits changes in memory. It can simulate a lost answer and an unreachable store. */
 export class InMemoryChanges implements ChangePort {
   public configuration: Configuration = emptyConfiguration;
   public readonly committed = new Map<string, number>();
   public proposals = 0;
   /** Commits the next change and reports it as unresolved. */
-  public losesNextAnswer = false;
+  public isNextAnswerLost = false;
   public isReachable = true;
 
   public propose(proposal: ChangeProposal): Promise<ProposalResult> {
@@ -72,14 +72,14 @@
     }
     this.configuration = { ...proposal.configuration, revision: revision + 1 };
     this.committed.set(proposal.changeId, revision + 1);
-    if (this.losesNextAnswer) {
-      this.losesNextAnswer = false;
+    if (this.isNextAnswerLost) {
+      this.isNextAnswerLost = false;
       return Promise.resolve({ kind: 'unresolved' });
     }
     return Promise.resolve({ kind: 'accepted', revision: revision + 1 });
   }
 
-  public stateOf(changeId: string): Promise<ChangeState> {
+  public lookUpChange(changeId: string): Promise<ChangeState> {
     if (!this.isReachable) return Promise.resolve({ kind: 'unresolved' });
     const revision = this.committed.get(changeId);
     return Promise.resolve(
@@ -90,10 +90,10 @@
   }
 }
 
-const noPeers: PeerTransport = { send: () => false, servers: () => [] };
+const transportWithoutPeers: PeerTransport = { send: () => false, servers: () => [] };
 
-/** A node in memory: its view, journal, history and changes. */
-export function createNode(transport: PeerTransport = noPeers): {
+/** Creates a node in memory, with its view, journal, refusal history and changes. */
+export function createNode(transport: PeerTransport = transportWithoutPeers): {
   readonly backend: NodeBackend;
   readonly changes: InMemoryChanges;
   readonly gatherer: PeerGatherer;
@@ -101,7 +101,7 @@
   readonly refusals: RefusalHistory;
 } {
   const changes = new InMemoryChanges();
-  const identity = { ...member('bern-1', 'antrag'), peerAddress: '127.0.0.1:1' };
+  const identity = { ...createMember('bern-1', 'antrag'), peerAddress: '127.0.0.1:1' };
   const view: NodeView = {
     budgets: () => [{ allowed: 20, budget: 'retry', service: 'antrag', spent: 5, unit: 'tokens' }],
     configuration: () => changes.configuration,
@@ -116,7 +116,7 @@
       },
     ],
     identity,
-    key: () => Promise.resolve({ home: 'bern-1', state: 'ran', status: 201 }),
+    findKey: () => Promise.resolve({ home: 'bern-1', state: 'ran', status: 201 }),
     load: () => ({
       inFlight: 4,
       latencyMilliseconds: 12,
@@ -125,17 +125,17 @@
       service: 'antrag',
       state: 'serving',
     }),
-    members: () => [identity, member('bern-2', 'antrag', 'bern-b', 'dead')],
-    platform: () => ({
+    members: () => [identity, createMember('bern-2', 'antrag', 'bern-b', 'dead')],
+    platformStatus: () => ({
       calls: 3,
       failedCalls: 0,
       lastAnswerAt: 1_000,
       latencyMilliseconds: 2,
-      reachable: true,
-      watching: false,
+      isReachable: true,
+      isWatching: false,
     }),
     readiness: () => ({ causes: [], ready: true }),
-    tenantUse: () => [{ inFlight: 2, queued: 0, service: 'antrag', tenant: 'agrarantrag' }],
+    tenantUsage: () => [{ inFlight: 2, queued: 0, service: 'antrag', tenant: 'agrarantrag' }],
   };
   const journal = new RequestJournal();
   const refusals = new RefusalHistory();
--- a/packages/operators/tests/observation.test.ts
+++ b/packages/operators/tests/observation.test.ts
@@ -3,7 +3,7 @@
 
 import { Metrics, RefusalHistory, RequestJournal } from '../src/index.js';
 import { requestRow, stepRows } from '../src/observation/journal-rows.js';
-import { isEntryOf } from '../src/observation/request-journal.js';
+import { isRecordedByEntry } from '../src/observation/request-journal.js';
 
 const received = {
   deadlineMilliseconds: 2_000,
@@ -21,7 +21,7 @@
   tenant: 'labs',
 } as const;
 
-test('the journal keeps refused requests while answered ones push each other out', () => {
+test('newer requests do not evict a refused request from the journal', () => {
   const journal = new RequestJournal({
     recentRequests: 2,
     stepsPerRequest: 3,
@@ -36,7 +36,7 @@
   );
 });
 
-test('an entry is bounded and still says how the request ended', () => {
+test('a full journal entry still records the conclusion of the request', () => {
   const journal = new RequestJournal({
     recentRequests: 2,
     stepsPerRequest: 2,
@@ -52,18 +52,18 @@
   assert.is(entry?.steps.at(-1)?.step.kind, 'concluded');
 });
 
-test('a request that was refused on receipt can be explained by its identifier', () => {
+test('the journal holds a request that was refused on receipt, with the detail', () => {
   const journal = new RequestJournal();
   journal.record('a', { ...refused, detail: 'Idempotency-Key is required' }, 1);
   const [entry] = journal.entries();
-  if (entry === undefined) throw new Error('the request was not kept');
+  if (entry === undefined) throw new Error('the request is not in the journal');
   const row = requestRow(entry, 'bern-1');
   assert.equal([row.service, row.outcome, row.reason], ['antrag', 'refused-not-run', 'draining']);
   const [step] = stepRows(entry, 'bern-1');
   assert.is(step?.detail, 'refused-not-run: Idempotency-Key is required');
 });
 
-test('a home remembers its attempts, and refused ones longer than others', () => {
+test('the home of a key records its attempts, and keeps refused requests longer', () => {
   const journal = new RequestJournal({
     recentRequests: 1,
     stepsPerRequest: 8,
@@ -79,10 +79,10 @@
     ['a', 'c'],
   );
   // Otherwise `show requests` would list the request twice.
-  assert.not.ok(entries.some(isEntryOf));
+  assert.not.ok(entries.some(isRecordedByEntry));
 });
 
-test('refusals outside the time asked for are not counted, and buckets are bounded', () => {
+test('refusals before the given period are not counted, and the size of a bucket is limited', () => {
   const history = new RefusalHistory();
   const outcome = { kind: 'refused-not-run', reason: 'no-slot' } as const;
   history.record('antrag', outcome, 0);
@@ -98,7 +98,7 @@
   assert.ok(rows.some((row) => row.service === '(other)'));
 });
 
-test('counters, gauges and percentiles are exposed under stable names', async () => {
+test('counters, gauges and percentiles are exposed under their Prometheus names', async () => {
   const metrics = new Metrics();
   const labels = { 'refusal-reason': 'no-slot' };
   metrics.count({ by: 2, counter: 'refusals', kind: 'count', labels });
@@ -118,7 +118,7 @@
   assert.ok(Math.abs(Number(p99?.[1]) - 99) < 1, text);
 });
 
-test('other label names or endless label values neither throw nor fill the memory', async () => {
+test('differing label names and ever new label values neither throw nor fill the memory', async () => {
   const metrics = new Metrics();
   const count = (labels: Record<string, string>): void => {
     metrics.count({ by: 1, counter: 'x', kind: 'count', labels });
--- a/packages/operators/tests/operator-server.test.ts
+++ b/packages/operators/tests/operator-server.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { Metrics, OperatorServer, SecretCheck } from '../src/index.js';
+import { Metrics, OperatorServer, SecretVerifier } from '../src/index.js';
 import { createNode, directParser } from './in-memory-backend.js';
 
 const node = createNode();
@@ -16,18 +16,18 @@
 });
 let base = '';
 
-const port = suite('operator port');
-port.before(async () => {
+const portSuite = suite('operator port');
+portSuite.before(async () => {
   base = `http://127.0.0.1:${await server.listen('127.0.0.1', 0)}`;
 });
-port.after(() => server.close());
+portSuite.after(() => server.close());
 
 function post(body: string, secret = 'new-secret'): Promise<Response> {
   const headers = { authorization: `Bearer ${secret}` };
   return fetch(`${base}/query`, { body, headers, method: 'POST' });
 }
 
-/** Authorization header and whether it is accepted. */
+/** `Authorization` header, and whether it is accepted. */
 const authorizations: readonly (readonly [string | undefined, boolean])[] = [
   ['Bearer new-secret', true],
   ['bearer old-secret', true],
@@ -39,14 +39,17 @@
 ];
 
 for (const [authorization, isAccepted] of authorizations) {
-  port(`only the current and the previous secret open the port: ${authorization ?? 'none'}`, () => {
-    const check = new SecretCheck({ current: 'new-secret', previous: 'old-secret' });
-    assert.is(check.accepts(authorization), isAccepted);
-    assert.not(new SecretCheck({ current: 'a', previous: '' }).accepts('Bearer '));
-  });
+  portSuite(
+    `only the current and the previous secret are accepted: ${authorization ?? 'none'}`,
+    () => {
+      const check = new SecretVerifier({ current: 'new-secret', previous: 'old-secret' });
+      assert.is(check.accepts(authorization), isAccepted);
+      assert.not(new SecretVerifier({ current: 'a', previous: '' }).accepts('Bearer '));
+    },
+  );
 }
 
-port('queries and metrics need the secret, health and readiness do not', async () => {
+portSuite('queries and metrics require the secret, health and readiness do not', async () => {
   const statuses = await Promise.all(
     ['/metrics', '/health', '/ready'].map(async (path) => (await fetch(base + path)).status),
   );
@@ -54,7 +57,7 @@
   assert.is((await post('{"text":"show services"}', 'wrong')).status, 401);
 });
 
-/** Body of a query and the status of its answer. */
+/** Body of a query, and the status of its response. */
 const queries: readonly (readonly [string, number])[] = [
   ['{"text":"show services"}', 200],
   ['{"text":"show servces"}', 400],
@@ -69,18 +72,18 @@
 ];
 
 for (const [body, status] of queries) {
-  port(`each result has its status: ${body.slice(0, 60)}`, async () => {
+  portSuite(`a query gets the HTTP status of its result: ${body.slice(0, 60)}`, async () => {
     assert.is((await post(body)).status, status);
   });
 }
 
-port('a table is returned beside the rows', async () => {
+portSuite('a table is returned in addition to the rows', async () => {
   const response = await post('{"text":"show services","output":"table"}');
   const result = (await response.json()) as { readonly table: string };
   assert.match(result.table, /service\s+declared/);
 });
 
-/** Sends bytes and returns everything that the server sends until it closes. */
+/** Sends bytes and returns everything that the server sends until it closes the connection. */
 function exchange(bytes: string): Promise<string> {
   return new Promise((resolve) => {
     let received = '';
@@ -93,35 +96,35 @@
   });
 }
 
-port('headers of hostile size are refused', async () => {
+portSuite('oversized headers are rejected', async () => {
   const answer = await exchange(
     `GET /health HTTP/1.1\r\nHost: a\r\nX: ${'x'.repeat(3_000)}\r\n\r\n`,
   );
   assert.match(answer, /^HTTP\/1\.1 431/);
 });
 
-port('a client that sends its request slowly does not keep its connection', async () => {
+portSuite('the connection of a client that sends its request too slowly is closed', async () => {
   assert.match(await exchange('GET /health HTTP/1.1\r\nHost: a\r\n'), /^HTTP\/1\.1 408/);
 });
 
-port('an error of the node is answered and leaves the port open', async () => {
+portSuite('an error in the node gets a 500 response, and the port stays open', async () => {
   const { backend } = createNode();
-  backend.rows = () => Promise.reject(new Error('a fault'));
-  const faulty = new OperatorServer({
+  backend.localRows = () => Promise.reject(new Error('an error in the node'));
+  const failingServer = new OperatorServer({
     backend,
     metrics: new Metrics(),
     parser: directParser,
     secrets: { current: 'new-secret' },
   });
-  const faultyBase = `http://127.0.0.1:${await faulty.listen('127.0.0.1', 0)}`;
-  const response = await fetch(`${faultyBase}/query`, {
+  const failingBase = `http://127.0.0.1:${await failingServer.listen('127.0.0.1', 0)}`;
+  const response = await fetch(`${failingBase}/query`, {
     body: '{"text":"show services"}',
     headers: { authorization: 'Bearer new-secret' },
     method: 'POST',
   });
   assert.is(response.status, 500);
-  assert.is((await fetch(`${faultyBase}/health`)).status, 200);
-  await faulty.close();
+  assert.is((await fetch(`${failingBase}/health`)).status, 200);
+  await failingServer.close();
 });
 
-port.run();
+portSuite.run();
--- a/packages/operators/tests/pages.test.ts
+++ b/packages/operators/tests/pages.test.ts
@@ -8,20 +8,20 @@
 import { fieldsOf, QueryRunner } from '../src/index.js';
 import { createNode, directParser } from './in-memory-backend.js';
 
-function page(name: string): string {
+function readPage(name: string): string {
   return readFileSync(new URL(`../../../../docs/${name}`, import.meta.url), 'utf8');
 }
 
-const language = page('language.md');
-const examples = [...language.matchAll(/```peridotspring\n([^]*?)```/g)].map(
+const languagePage = readPage('language.md');
+const examples = [...languagePage.matchAll(/```peridotspring\n([^]*?)```/g)].map(
   ([, text]) => text ?? '',
 );
 
-// The examples run in the order of the page, because later ones change what earlier ones declared.
+// The examples run in page order, because later ones change what earlier ones declare.
 const runner = new QueryRunner(createNode().backend, directParser);
 
 for (const text of examples) {
-  test(`the example on the page works: ${JSON.stringify(text.slice(0, 60))}`, async () => {
+  test(`the example on the page runs: ${JSON.stringify(text.slice(0, 60))}`, async () => {
     const result = await runner.run({ text });
     assert.not.equal(result.kind, 'faults', JSON.stringify(result));
     if (result.kind !== 'change') return;
@@ -30,7 +30,7 @@
   });
 }
 
-test('the page has an example for every keyword but those that are the default', () => {
+test('the page has an example for every keyword except `ascending` and `contains`', () => {
   const words = new Set(examples.join(' ').split(/[^a-z-]+/));
   const unused = keywords.filter((word) => !words.has(word));
   assert.equal(unused, ['ascending', 'contains']);
@@ -57,8 +57,9 @@
 ];
 
 for (const [subject, question] of documented) {
-  test(`the page documents each field of show ${subject} as the code does`, () => {
-    const section = language.split(`### Fields of \`show ${subject}\`\n`)[1]?.split('###')[0] ?? '';
+  test(`the page documents the fields of show ${subject} as the code defines them`, () => {
+    const section =
+      languagePage.split(`### Fields of \`show ${subject}\`\n`)[1]?.split('###')[0] ?? '';
     const listed = section.split('\n').filter((line) => line.startsWith('- '));
     const defined = fieldsOf(question).map(({ documentation, name, type, unit }) => {
       const suffix = unit === undefined ? '' : `, ${unit}`;
@@ -68,8 +69,8 @@
   });
 }
 
-test('operators find every reason of a refusal and of an unknown outcome', () => {
-  const operators = page('OPERATIONS.md');
+test('the operations page lists every reason of a refusal and of an unknown outcome', () => {
+  const operators = readPage('OPERATIONS.md');
   const reasons = [...Object.values(RefusalReason), ...Object.values(UnknownReason)];
   const missing = reasons.filter((reason) => !operators.includes(`\n| \`${reason}\``));
   assert.equal(missing, []);
--- a/packages/operators/tests/queries.test.ts
+++ b/packages/operators/tests/queries.test.ts
@@ -10,7 +10,7 @@
   return result.rows;
 }
 
-function createJournaledNode(): ReturnType<typeof createNode> {
+function createNodeWithJournal(): ReturnType<typeof createNode> {
   const node = createNode();
   for (let number = 1; number <= 3; number += 1) {
     const requestId = `r${number}`;
@@ -36,7 +36,7 @@
   return node;
 }
 
-/** Question and the requests that it returns. */
+/** Clauses of `show requests`, and the requests that it returns. */
 const selections: readonly (readonly [string, readonly string[]])[] = [
   ['sort by latency_ms', ['r1', 'r2', 'r3']],
   ['sort by latency_ms descending limit 2', ['r3', 'r2']],
@@ -48,8 +48,8 @@
 ];
 
 for (const [clauses, expected] of selections) {
-  test(`filter, order and limit select the right rows: ${clauses}`, async () => {
-    const runner = new QueryRunner(createJournaledNode().backend, directParser);
+  test(`filter, sort order and limit select the expected rows: ${clauses}`, async () => {
+    const runner = new QueryRunner(createNodeWithJournal().backend, directParser);
     const rows = await rowsOf(runner, `show requests ${clauses}`);
     assert.equal(
       rows.map((row) => row.request),
@@ -58,8 +58,8 @@
   });
 }
 
-/** Faulty question, column, words of the sentence. */
-const faults: readonly (readonly [string, number, string])[] = [
+/** Invalid question, column of the error, part of the message. */
+const invalidQuestions: readonly (readonly [string, number, string])[] = [
   ['show members where slts > 1', 20, '`slots`'],
   ['show members where slots > many', 28, 'a number for the field `slots`'],
   ['show members where slots > 5s', 28, 'a number for the field `slots`'],
@@ -69,8 +69,8 @@
   ['show members limit 0', 20, 'a whole number from 1'],
 ];
 
-for (const [text, column, words] of faults) {
-  test(`a question with a wrong field or value is explained: ${text}`, async () => {
+for (const [text, column, words] of invalidQuestions) {
+  test(`an invalid field or value in a question gets an error with its position: ${text}`, async () => {
     const result = await new QueryRunner(createNode().backend, directParser).run({ text });
     assert.is(result.kind, 'faults');
     if (result.kind !== 'faults') return;
@@ -79,7 +79,7 @@
   });
 }
 
-test('load is summed over the servers of a group', async () => {
+test('show load sums the load over the servers of a group', async () => {
   const rows = await rowsOf(
     new QueryRunner(createNode().backend, directParser),
     'show load by zone',
@@ -97,12 +97,12 @@
   ]);
 });
 
-test('a dead member is not counted as a server of its service', async () => {
+test('show services does not count dead members', async () => {
   const [row] = await rowsOf(new QueryRunner(createNode().backend, directParser), 'show services');
   assert.equal([row?.servers, row?.serving, row?.slots], [1, 1, 6]);
 });
 
-test('the same change sent again takes effect once', async () => {
+test('a change that is sent twice under one identifier takes effect once', async () => {
   const { backend, changes } = createNode();
   const runner = new QueryRunner(backend, directParser);
   const query = { changeId: 'c1', text: 'drain server bern-1' };
@@ -113,9 +113,9 @@
   assert.is(other.kind === 'change' ? other.status : other.kind, 'rejected');
 });
 
-test('a lost answer of the store is resolved by the change identifier', async () => {
+test('a change with an unresolved proposal is looked up by its identifier', async () => {
   const { backend, changes } = createNode();
-  changes.losesNextAnswer = true;
+  changes.isNextAnswerLost = true;
   const result = await new QueryRunner(backend, directParser).run({
     changeId: 'c1',
     text: 'drain zone bern-b',
@@ -123,8 +123,8 @@
   assert.is(result.kind === 'change' ? result.status : result.kind, 'accepted');
 });
 
-// The current revision beside such a change was read as the revision that it had produced.
-test('a change that the store does not hold has no revision', async () => {
+// Operators mistook the current revision in this row for the revision that the change had produced.
+test('the row of a change that the store does not list has no revision', async () => {
   const runner = new QueryRunner(createNode().backend, directParser);
   const result = await runner.run({ text: 'show change c9' });
   assert.equal(result.kind === 'rows' ? result.rows : result, [
@@ -132,8 +132,9 @@
   ]);
 });
 
-// Only a run that is known to be the first may be told that nothing was changed.
-test('a change that is sent again is proposed as such', async () => {
+// Only the first proposal of a change may be answered with the statement that nothing was changed,
+// because an earlier proposal may have been committed.
+test('a change that is sent again is proposed as resent', async () => {
   const { backend, changes } = createNode();
   const proposed: (boolean | undefined)[] = [];
   changes.propose = ({ isResent }) => {
@@ -147,9 +148,9 @@
   assert.equal(proposed, [false, true]);
 });
 
-test('an unresolved change is reported as such and can be sent again through any node', async () => {
+test('an unresolved change is reported as unresolved and can be sent again', async () => {
   const { backend, changes } = createNode();
-  changes.losesNextAnswer = true;
+  changes.isNextAnswerLost = true;
   changes.isReachable = false;
   const runner = new QueryRunner(backend, directParser);
   const query = { changeId: 'c1', text: 'drain zone bern-b' };
@@ -163,7 +164,7 @@
   assert.is(changes.proposals, 1);
 });
 
-test('a dry run and a change without a difference propose nothing', async () => {
+test('neither a dry run nor a change without differences is proposed', async () => {
   const { backend, changes } = createNode();
   const runner = new QueryRunner(backend, directParser);
   const statuses: string[] = [];
@@ -174,7 +175,7 @@
   assert.equal([statuses, changes.proposals], [['dry-run', 'unchanged'], 0]);
 });
 
-test('a drain that leaves a service without servers, or names nobody, is pointed out', async () => {
+test('a warning is given if a drain matches no member or leaves a service without servers', async () => {
   const runner = new QueryRunner(createNode().backend, directParser);
   const result = await runner.run({
     text: 'dry run begin; drain zone bern-a; drain server berm-2; commit',
@@ -182,12 +183,12 @@
   assert.is(result.kind, 'change');
   if (result.kind !== 'change') return;
   assert.equal(result.notes, [
-    'no live member is called berm-2',
+    'no live member is named berm-2',
     'service antrag is left without a server that takes new work',
   ]);
 });
 
-test('a table shows no control characters, so that no name can rewrite the terminal', () => {
+test('a table contains no control characters, so that names cannot manipulate the terminal', () => {
   const result: QueryResult = {
     answered: 1,
     fields: [{ documentation: '', name: 'tenant', type: 'text' }],
--- a/packages/operators/tests/worker-parser.test.ts
+++ b/packages/operators/tests/worker-parser.test.ts
@@ -8,7 +8,7 @@
 
 const texts = ['show load by service', 'drain zone bern-a wait up to 5s', 'show nothing'];
 
-test('statements and faults come back from the worker as the parser made them', async () => {
+test('the worker returns the same statements and errors as the parser', async () => {
   const parser = new WorkerParser();
   const results = await Promise.all(texts.map((text) => parser.parse(text)));
   assert.equal(
@@ -18,7 +18,7 @@
   parser.close();
 });
 
-test('a parser that nobody uses gives its memory back and is loaded again when needed', async () => {
+test('an idle parser is unloaded and is loaded again when needed', async () => {
   const parser = new WorkerParser(20);
   assert.not(parser.isLoaded);
   const isLoaded = (): boolean => parser.isLoaded;
@@ -29,14 +29,14 @@
   parser.close();
 });
 
-test('an operator who waits is told when the node stops, and later ones as well', async () => {
+test('pending and later parses are rejected when the parser is closed', async () => {
   const parser = new WorkerParser();
-  const faultOf = (text: string): Promise<string> =>
+  const parseErrorOf = (text: string): Promise<string> =>
     parser.parse(text).then(() => 'parsed', String);
-  const waiting = faultOf('show services');
+  const waiting = parseErrorOf('show services');
   parser.close();
   assert.match(await waiting, /the node stops/);
-  assert.match(await faultOf('show services'), /the node stops/);
+  assert.match(await parseErrorOf('show services'), /the node stops/);
 });
 
 test.run();
--- a/packages/virtual-time/src/survey-network.ts
+++ b/packages/virtual-time/src/survey-network.ts
@@ -61,7 +61,7 @@
   public receive(from: string, frame: OperatorFrame): void {
     if (this.isFrozen) return;
     if (frame.kind === 'operator-answer') {
-      this.gatherer.answered(from, frame);
+      this.gatherer.onAnswer(from, frame);
       return;
     }
     void answerNodeQuestion(this.backend(), frame.question).then((answer) => {
@@ -81,12 +81,12 @@
       configuration: () => ({ ...emptyConfiguration, revision }),
       members: () => this.members,
       readiness: () => ({ causes: [], ready: true }),
-      rows: () => Promise.resolve([{ revision, server, zone }]),
+      localRows: () => Promise.resolve([{ revision, server, zone }]),
       gather: (text, options) => gatherer.gather(text, options),
       survey: (request) => surveyor.survey(request),
-      answerZone: (question) => surveyor.answer(question),
+      answerZoneQuestion: (question) => surveyor.answerQuestion(question),
       propose: () => Promise.resolve({ kind: 'unresolved' }),
-      stateOf: () => Promise.resolve({ kind: 'unresolved' }),
+      lookUpChange: () => Promise.resolve({ kind: 'unresolved' }),
     };
   }
 }
