--- a/packages/callers/src/outcome-response.ts
+++ b/packages/callers/src/outcome-response.ts
@@ -14,7 +14,8 @@
   if (requestClass !== RequestClass.NonIdempotent || unknownReason === undefined) {
     return { kind: 'refused-not-run', reason, retryAfterMilliseconds };
   }
-  // An earlier attempt with the same key may have run; only the key's home node knows.
+  // No attempt was started for this request, but an earlier request with the same key may have run, and only the
+  // key's home node knows whether it did. So the outcome is unknown.
   return {
     attemptStarted: false,
     kind: 'outcome-unknown',
--- a/packages/daemon/src/mesh/configuration-synchronizer.ts
+++ b/packages/daemon/src/mesh/configuration-synchronizer.ts
@@ -15,7 +15,7 @@
 
 /** Connections to peers and the store, through which the synchronizer acts. */
 export interface ConfigurationPorts {
-  readonly links: Pick<MeshConnections, 'broadcast' | 'send'>;
+  readonly connections: Pick<MeshConnections, 'broadcast' | 'send'>;
   readonly store: {
     watchConfiguration(isWatching: boolean): void;
     /** A peer has observed this era of the store. */
@@ -40,7 +40,7 @@
 export class ConfigurationSynchronizer {
   private readonly holder = new ConfigurationHolder();
   private readonly pull: ConfigurationPullScheduler;
-  private readonly watchDuty: StoreWatchElection;
+  private readonly storeWatchElection: StoreWatchElection;
   /** Time when the configuration in force was applied; the start time before that. */
   private changedAt: number;
   private newestEra: number | undefined;
@@ -49,7 +49,7 @@
 
   public constructor(private readonly options: ConfigurationSynchronizerOptions) {
     this.pull = new ConfigurationPullScheduler(options.self.name);
-    this.watchDuty = new StoreWatchElection(options.self);
+    this.storeWatchElection = new StoreWatchElection(options.self);
     this.changedAt = options.clock();
   }
 
@@ -62,12 +62,12 @@
   }
 
   public get reachesStore(): boolean {
-    return this.watchDuty.isStoreReachable;
+    return this.storeWatchElection.isStoreReachable;
   }
 
   /** Whether this node watches the configuration in the store. */
   public get isWatching(): boolean {
-    return this.watchDuty.isWatching;
+    return this.storeWatchElection.isWatching;
   }
 
   /** The newest era of the store that this node has observed; undefined before the first one. */
@@ -99,7 +99,7 @@
     this.changedAt = clock();
     log(MeshEvent.ConfigurationInForce, { routes: routes.length, source, version });
     onChange(configuration);
-    ports().links.broadcast({ kind: 'version', version });
+    ports().connections.broadcast({ kind: 'version', version });
   }
 
   /** The store's era was read for the first time, or the era shows that the store was restored from a backup. */
@@ -107,7 +107,9 @@
     this.newestEra = storeEra;
     if (!isRestored) return;
     this.options.log(MeshEvent.StoreRestored, { era: storeEra, version: this.version });
-    this.options.ports().links.broadcast({ kind: 'version', storeEra, version: this.version });
+    this.options
+      .ports()
+      .connections.broadcast({ kind: 'version', storeEra, version: this.version });
   }
 
   /** A peer sent an era of the store; invalid values are ignored. */
@@ -119,19 +121,19 @@
 
   /** The store became reachable or unreachable for this node. */
   public onStoreReachabilityChanged(reachesStore: boolean): void {
-    this.watchDuty.onStoreReachabilityChanged(reachesStore);
-    this.options.ports().links.broadcast({ kind: 'store-reach', reachesStore });
+    this.storeWatchElection.onStoreReachabilityChanged(reachesStore);
+    this.options.ports().connections.broadcast({ kind: 'store-reach', reachesStore });
   }
 
   public onConnected({ configurationVersion, node, reachesStore, storeEra }: MeshHelloFrame): void {
-    this.watchDuty.onNodeConnected(node, reachesStore);
+    this.storeWatchElection.onNodeConnected(node, reachesStore);
     this.onPeerVersion(node, configurationVersion);
     this.onPeerEra(storeEra);
   }
 
   public onDisconnected(node: string): void {
     this.pull.removeNode(node);
-    this.watchDuty.onNodeDisconnected(node);
+    this.storeWatchElection.onNodeDisconnected(node);
   }
 
   public onPeerVersion(from: MeshNode, version: number): void {
@@ -141,7 +143,7 @@
 
   /** A peer reported whether it reaches the store. */
   public onPeerStoreReachability(node: string, reachesStore: boolean): void {
-    this.watchDuty.onStoreReachabilityReported(node, reachesStore);
+    this.storeWatchElection.onStoreReachabilityReported(node, reachesStore);
   }
 
   /** A peer requested the configuration in force. */
@@ -150,13 +152,13 @@
     if (inForce === undefined) return;
     const { configuration, content } = inForce;
     const { version } = configuration;
-    this.options.ports().links.send(node, { content, kind: 'configuration', version });
+    this.options.ports().connections.send(node, { content, kind: 'configuration', version });
   }
 
   public tick(now: number): void {
     this.updateWatch(now);
-    const source = this.pull.takeDueSource(this.version, this.watchDuty.isWatching, now);
-    if (source !== undefined) this.options.ports().links.send(source, { kind: 'pull' });
+    const source = this.pull.takeDueSource(this.version, this.storeWatchElection.isWatching, now);
+    if (source !== undefined) this.options.ports().connections.send(source, { kind: 'pull' });
   }
 
   /**
@@ -176,8 +178,8 @@
   }
 
   private updateWatch(now: number): void {
-    const wasWatching = this.watchDuty.isWatching;
-    const isWatching = this.watchDuty.evaluate(now);
+    const wasWatching = this.storeWatchElection.isWatching;
+    const isWatching = this.storeWatchElection.evaluate(now);
     if (isWatching === wasWatching) return;
     this.options.log(MeshEvent.ConfigurationWatch, { watching: isWatching });
     this.options.ports().store.watchConfiguration(isWatching);
--- a/packages/daemon/src/mesh/event-recorder.ts
+++ b/packages/daemon/src/mesh/event-recorder.ts
@@ -77,11 +77,11 @@
  * the current second allows; suppressed lines are counted.
  */
 export class EventRecorder {
-  private readonly conclusions = new LineBudget(linesPerSecond.conclusions);
-  private readonly steps = new LineBudget(linesPerSecond.steps);
-  private readonly declines = new LineBudget(linesPerSecond.declines);
-  private readonly notable = new LineBudget(linesPerSecond.notable);
-  private readonly routine = new LineBudget(linesPerSecond.routine);
+  private readonly conclusionBudget = new LineBudget(linesPerSecond.conclusions);
+  private readonly stepBudget = new LineBudget(linesPerSecond.steps);
+  private readonly declineBudget = new LineBudget(linesPerSecond.declines);
+  private readonly notableBudget = new LineBudget(linesPerSecond.notable);
+  private readonly routineBudget = new LineBudget(linesPerSecond.routine);
   private readonly bufferedLines = new Map<string, BufferedLine[]>();
   private reportedAt = 0;
 
@@ -92,7 +92,7 @@
     this.countEvent(event, fields);
     if (bufferedEvents.has(event)) this.buffer(event, fields);
     else if (event === EntryEventName.RequestConcluded) this.onRequestConcluded(fields);
-    else if (event === EntryEventName.RequestAbandoned) this.writeWithBuffered(event, fields);
+    else if (event === EntryEventName.RequestAbandoned) this.writeWithBufferedLines(event, fields);
     else if (event === GateEventName.RequestFinished) this.onRequestFinished(fields);
     else this.writeWithinBudget(this.budgetFor(event, fields), event, fields);
     this.reportSuppressed(now);
@@ -116,39 +116,40 @@
   }
 
   private budgetFor(event: string, { reason }: LogFields): LineBudget {
-    if (sampledEvents.has(event) || event === MeshEvent.RequestWaitedBehind) return this.routine;
-    if (event === MeshEvent.RequestAnsweredLocally) return this.conclusions;
-    if (event !== GateEventName.RequestDeclined) return this.notable;
-    return reason === DeclineReason.Busy ? this.routine : this.declines;
+    if (sampledEvents.has(event) || event === MeshEvent.RequestWaitedBehind)
+      return this.routineBudget;
+    if (event === MeshEvent.RequestAnsweredLocally) return this.conclusionBudget;
+    if (event !== GateEventName.RequestDeclined) return this.notableBudget;
+    return reason === DeclineReason.Busy ? this.routineBudget : this.declineBudget;
   }
 
   private onRequestConcluded(fields: LogFields): void {
     const { milliseconds, outcome, request, service } = fields;
     this.options.metrics.recordLatency(String(service), String(outcome), Number(milliseconds));
     if (isFailedOrLate(fields)) {
-      this.writeWithBuffered(EntryEventName.RequestConcluded, fields);
+      this.writeWithBufferedLines(EntryEventName.RequestConcluded, fields);
       return;
     }
     this.bufferedLines.delete(String(request));
-    this.writeWithinBudget(this.routine, EntryEventName.RequestConcluded, fields);
+    this.writeWithinBudget(this.routineBudget, EntryEventName.RequestConcluded, fields);
   }
 
   /** Writes the last line of a request, preceded by its buffered lines if the budget has room for all of them. */
-  private writeWithBuffered(event: string, fields: LogFields): void {
+  private writeWithBufferedLines(event: string, fields: LogFields): void {
     const request = String(fields.request);
     const earlierLines = this.bufferedLines.get(request) ?? [];
     this.bufferedLines.delete(request);
     // Budgets follow seconds of the wall clock, so that they can be verified by counting the lines in the log.
-    if (this.steps.tryTake(this.options.wallClock(), earlierLines.length)) {
+    if (this.stepBudget.tryTake(this.options.wallClock(), earlierLines.length)) {
       for (const line of earlierLines) this.options.write(line.event, line.fields, line.time);
     }
-    this.writeWithinBudget(this.conclusions, event, fields);
+    this.writeWithinBudget(this.conclusionBudget, event, fields);
   }
 
   /** Writes the gate's last line of a failed or late request. For other requests the first line is sufficient. */
   private onRequestFinished(fields: LogFields): void {
     if (!isFailedOrLate(fields)) return;
-    this.writeWithinBudget(this.conclusions, GateEventName.RequestFinished, fields);
+    this.writeWithinBudget(this.conclusionBudget, GateEventName.RequestFinished, fields);
   }
 
   private buffer(event: string, fields: LogFields): void {
@@ -178,11 +179,11 @@
     if (now - this.reportedAt < suppressionReportIntervalMilliseconds) return;
     this.reportedAt = now;
     const suppressed = {
-      conclusions: this.conclusions.takeSuppressed(),
-      declines: this.declines.takeSuppressed(),
-      notable: this.notable.takeSuppressed(),
-      routine: this.routine.takeSuppressed(),
-      steps: this.steps.takeSuppressed(),
+      conclusions: this.conclusionBudget.takeSuppressed(),
+      declines: this.declineBudget.takeSuppressed(),
+      notable: this.notableBudget.takeSuppressed(),
+      routine: this.routineBudget.takeSuppressed(),
+      steps: this.stepBudget.takeSuppressed(),
     };
     if (Object.values(suppressed).every((lines) => lines === 0)) return;
     this.options.write(MeshEvent.LinesSuppressed, suppressed, this.options.wallClock());
--- a/packages/daemon/src/mesh/mesh-node.ts
+++ b/packages/daemon/src/mesh/mesh-node.ts
@@ -53,10 +53,10 @@
 const healthRetryDelayMilliseconds = 3_000;
 /**
  * Messages of the server are buffered until half of the connections are up, but at most for this long after the
- * start. Peers report, when they connect, which lifetimes of the server have ended according to an earlier
+ * start. Peers report, when they connect, which incarnations of the server have ended according to an earlier
  * incarnation of this node.
  */
-const greetingTimeoutMilliseconds = 500;
+const peerHelloTimeoutMilliseconds = 500;
 /**
  * The end of a server is confirmed to the server once peers have acknowledged it, which takes a round trip. Peers
  * that don't answer delay the confirmation by at most this time; the platform allows one second for it.
@@ -71,7 +71,7 @@
 /** Interfaces through which the node acts on callers, other nodes, the server beside it and the store. */
 export interface MeshNodePorts {
   readonly callers: Pick<RouteServer, 'configure' | 'inProgress' | 'refuse' | 'respond' | 'stop'>;
-  readonly links: Pick<MeshConnections, 'broadcast' | 'dial' | 'send' | 'tick' | 'whenRead'>;
+  readonly connections: Pick<MeshConnections, 'broadcast' | 'dial' | 'send' | 'tick' | 'whenRead'>;
   readonly server: {
     run(execution: Execution): void;
     abort(executionId: number): void;
@@ -101,7 +101,7 @@
   public readonly directory: NodeDirectory;
   private readonly directorySynchronizer: DirectorySynchronizer;
   private readonly configuration: ConfigurationSynchronizer;
-  private readonly targets = new GateTable();
+  private readonly gateTable = new GateTable();
   private readonly trafficSplit: TrafficSplit;
   private readonly retryBudget: RetryBudget;
   private readonly forwarder: RequestForwarder;
@@ -187,9 +187,9 @@
         send: (node, frame) => this.send(node, frame),
       },
       random,
-      gates: this.targets,
+      gates: this.gateTable,
     });
-    this.targets.onConnected(self, this.gate.load(this.startedAt), this.startedAt);
+    this.gateTable.onConnected(self, this.gate.load(this.startedAt), this.startedAt);
   }
 
   public start(): void {
@@ -238,15 +238,15 @@
   /** Current values of the gauges with a service label, computed at each scrape. */
   public get serviceGaugeValues(): MeshServiceGaugeValues {
     const now = this.options.clock();
-    const retryUses = [...this.retryBudget.usageByService(now)];
+    const retryUsages = [...this.retryBudget.usageByService(now)];
     return {
-      load_report_age_milliseconds: this.targets.loadAges(now),
-      repeats_allowed: new Map(retryUses.map(({ allowed, service }) => [service, allowed])),
-      repeats_used: new Map(retryUses.map(({ service, used }) => [service, used])),
+      load_report_age_milliseconds: this.gateTable.loadAges(now),
+      repeats_allowed: new Map(retryUsages.map(({ allowed, service }) => [service, allowed])),
+      repeats_used: new Map(retryUsages.map(({ service, used }) => [service, used])),
     };
   }
 
-  public get greeting(): MeshHelloPayload {
+  public get helloPayload(): MeshHelloPayload {
     return {
       configurationVersion: this.configuration.version,
       endedServers: this.endedServers.listRecent(this.options.clock()),
@@ -338,14 +338,14 @@
     this.log(MeshEvent.NodeConnected, { boot: node.boot, peer: node.name });
     this.directory.onConnected(node, now);
     this.recordEndedServers(hello, now);
-    this.targets.onConnected(node, load, now);
+    this.gateTable.onConnected(node, load, now);
     this.forwarder.onConnectionRestored(node.name, node.boot, now);
-    const { links } = this.options.ports();
+    const { connections } = this.options.ports();
     this.configuration.onConnected(hello);
     // A peer that does not reach the store learns of other nodes this way. Only a few nodes need to send it the list.
     const sendsMembers = this.configuration.isWatching || isSameZone(node, this.options.self);
     if (sendsMembers && knownNodes * 2 < this.directory.nodeCount - 1) {
-      links.send(node.name, { kind: 'members', members: this.directory.nodes() });
+      connections.send(node.name, { kind: 'members', members: this.directory.nodes() });
     }
   }
 
@@ -353,7 +353,7 @@
     const now = this.options.clock();
     this.log(MeshEvent.NodeDisconnected, { detail, peer: name });
     this.directory.onDisconnected(name, now);
-    this.targets.onDisconnected(name);
+    this.gateTable.onDisconnected(name);
     this.configuration.onDisconnected(name);
     this.forwarder.onConnectionLost(name, now);
   }
@@ -385,7 +385,7 @@
         if (isEndedServer(frame.endedServer)) {
           this.endedServers.record(from.name, frame.endedServer, now);
         }
-        this.targets.onLoadReported(from.name, frame.load, now);
+        this.gateTable.onLoadReported(from.name, frame.load, now);
         return;
       case 'configuration':
         if (frame.version > this.configuration.version) {
@@ -408,12 +408,12 @@
         return;
       case 'leaving':
         // The peer stays in the directory: if it restarts while the store is unreachable, it waits to be dialed.
-        this.targets.remove(from.name);
+        this.gateTable.remove(from.name);
     }
   }
 
   private send(node: string, frame: RequestFrame): boolean {
-    if (node !== this.options.self.name) return this.options.ports().links.send(node, frame);
+    if (node !== this.options.self.name) return this.options.ports().connections.send(node, frame);
     // The local gate is called asynchronously like remote ones, so that the forwarder is not re-entered.
     this.options.defer(() => {
       this.onFrame(this.options.self, frame);
@@ -435,15 +435,15 @@
     this.announcementDueAt = now + announcementIntervalMilliseconds;
     const load = this.gate.load(now);
     for (const node of this.loadAnnouncer.takeDueNodes(load, now)) {
-      if (node === this.options.self.name) this.targets.onLoadReported(node, load, now);
-      else this.options.ports().links.send(node, { kind: 'load', load });
+      if (node === this.options.self.name) this.gateTable.onLoadReported(node, load, now);
+      else this.options.ports().connections.send(node, { kind: 'load', load });
     }
   }
 
   private sendReply(node: string, frame: ReplyFrame): void {
     this.loadAnnouncer.onReplySent(node, frame.load, this.options.clock());
     if (node !== this.options.self.name) {
-      this.options.ports().links.send(node, frame);
+      this.options.ports().connections.send(node, frame);
       return;
     }
     this.options.defer(() => {
@@ -454,15 +454,15 @@
   private onLoadChanged(): void {
     const now = this.options.clock();
     const load = this.gate.load(now);
-    this.targets.onLoadReported(this.options.self.name, load, now);
+    this.gateTable.onLoadReported(this.options.self.name, load, now);
     const endedServer =
       load.state === ServerState.Ready || !this.gate.hasServerLeft
         ? undefined
         : this.gate.lastEndedServer;
-    const { links } = this.options.ports();
-    links.broadcast({ endedServer, kind: 'load', load });
+    const { connections } = this.options.ports();
+    connections.broadcast({ endedServer, kind: 'load', load });
     if (endedServer !== undefined)
-      this.endAcknowledged = this.waitForAcknowledgement(links.whenRead());
+      this.endAcknowledged = this.waitForAcknowledgement(connections.whenRead());
   }
 
   private async waitForAcknowledgement(acknowledged: Promise<void>): Promise<void> {
@@ -489,7 +489,7 @@
     }
   }
 
-  /** Records which lifetimes of the server have ended according to an earlier incarnation of this node. */
+  /** Records which incarnations of the server have ended according to an earlier incarnation of this node. */
   private recordEndedServers({ endedServers }: MeshHelloFrame, now: number): void {
     if (!Array.isArray(endedServers)) return;
     for (const server of endedServers as readonly unknown[]) {
@@ -501,23 +501,23 @@
   /** Delivers the buffered messages of the server once enough peers have connected, or after a time-out. */
   private releaseServerMessages(now: number): void {
     if (this.serverMessages.isReleased) return;
-    const hasGreetings =
+    const hasEnoughPeerHellos =
       this.directory.connectedCount > 0 && this.directorySynchronizer.isMostlyConnected;
-    if (hasGreetings || now - this.startedAt >= greetingTimeoutMilliseconds)
+    if (hasEnoughPeerHellos || now - this.startedAt >= peerHelloTimeoutMilliseconds)
       this.serverMessages.release();
   }
 
   private tick(): void {
     if (this.isClosed) return;
     const now = this.options.clock();
-    const { callers, links, onStopped } = this.options.ports();
+    const { callers, connections, onStopped } = this.options.ports();
     this.forwarder.tick(now);
     this.gate.tick(now);
     this.announceLoad(now);
     if (now >= this.maintenanceDueAt) this.runMaintenance(now);
     if (this.shutdown?.refusesRequests(now) === true) callers.refuse();
     if (this.shutdown?.mayExit(now, this.inProgress) === true) {
-      links.broadcast({ kind: 'leaving' });
+      connections.broadcast({ kind: 'leaving' });
       this.close();
       onStopped(this.gate.hasServerLeft);
       return;
@@ -537,10 +537,10 @@
 
   /** Work whose cost grows with the number of nodes, and which tolerates the interval of idle ticks. */
   private runMaintenance(now: number): void {
-    const { links } = this.options.ports();
+    const { connections } = this.options.ports();
     this.maintenanceDueAt = now + idleTickIntervalMilliseconds;
-    links.tick(now);
-    for (const node of this.directory.takeNodesToDial(now)) links.dial(node);
+    connections.tick(now);
+    for (const node of this.directory.takeNodesToDial(now)) connections.dial(node);
     this.directorySynchronizer.tick(now);
     this.retryBudget.setNodeCount(this.directory.nodeCount);
     this.configuration.tick(now);
@@ -553,7 +553,7 @@
     return this.forwarder.inProgressCount + this.gate.inProgress + callers.inProgress;
   }
 
-  /** After a restart, a health check identifies the server's lifetime before the server's next report. */
+  /** After a restart, a health check identifies the server's incarnation before the server's next report. */
   private checkHealth(now: number): void {
     if (this.gate.hasServer || now < this.healthCheckDueAt || this.healthPath === undefined) return;
     this.healthCheckDueAt = Infinity;
@@ -598,7 +598,7 @@
   }
 }
 
-/** Validates a server lifetime that a peer sent. */
+/** Validates a server incarnation that a peer sent. */
 function isEndedServer(value: unknown): value is EndedServer {
   if (typeof value !== 'object' || value === null || !('instanceId' in value)) return false;
   const startedAt = 'startedAt' in value ? value.startedAt : undefined;
--- a/packages/daemon/src/mesh/mesh-wiring.ts
+++ b/packages/daemon/src/mesh/mesh-wiring.ts
@@ -68,7 +68,7 @@
     settings,
   });
   const callers = createCallers(options, driver, clock, events);
-  const links = createLinks(settings, self, driver, clock);
+  const connections = createConnections(settings, self, driver, clock);
   const server = createServerClient(options, driver, clock);
   const store = createStore(options, self, driver, {
     clock,
@@ -78,7 +78,7 @@
   });
   const ports: MeshNodePorts = {
     callers,
-    links,
+    connections,
     server,
     store: {
       observeEra: (era) => {
@@ -101,7 +101,7 @@
       const closing = [callers.close()];
       if (isPermanent) closing.push(store.session.leave());
       else store.session.close();
-      links.close();
+      connections.close();
       void Promise.race([Promise.all(closing), delay(shutdownTimeoutMilliseconds)]).then(onStopped);
     },
   };
@@ -129,7 +129,7 @@
     ],
   );
   store.session.start();
-  await Promise.all([links.listen(), callers.listen(), reports.listen(), readiness.listen()]);
+  await Promise.all([connections.listen(), callers.listen(), reports.listen(), readiness.listen()]);
   driver.start();
   events.record(MeshEvent.NodeStarted, { boot: self.boot, service: self.service });
   const settingsWatcher = createSettingsWatcher(options, driver, events);
@@ -225,7 +225,7 @@
   });
 }
 
-function createLinks(
+function createConnections(
   settings: MeshSettings,
   self: MeshNode,
   driver: MeshNodeDriver,
@@ -249,7 +249,7 @@
         driver.onFrame(from, frame);
       },
     },
-    helloPayload: () => driver.greeting,
+    helloPayload: () => driver.helloPayload,
     self,
   });
 }
--- a/packages/daemon/src/mesh/server-message-buffer.ts
+++ b/packages/daemon/src/mesh/server-message-buffer.ts
@@ -1,7 +1,7 @@
 import type { ServerMessage } from '@peridotspring/upstreams/mesh';
 
 /**
- * Buffers messages of the server beside a node until peers have reported which lifetimes of the server have ended
+ * Buffers messages of the server beside a node until peers have reported which incarnations of the server have ended
  * according to an earlier incarnation of the node.
  */
 export class ServerMessageBuffer {
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -75,17 +75,17 @@
 const wildcardHosts: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
 
 function advertisedAddressOf(
-  given: HostAndPort | undefined,
+  configuredAddress: HostAndPort | undefined,
   bind: HostAndPort,
   peerHost: string,
 ): HostAndPort {
-  if (given !== undefined) return given;
+  if (configuredAddress !== undefined) return configuredAddress;
   return wildcardHosts.has(bind.host) ? { host: peerHost, port: bind.port } : bind;
 }
 
-function findCrossSettingErrors(given: ParsedSettings): readonly SettingError[] {
+function findCrossSettingErrors(settings: ParsedSettings): readonly SettingError[] {
   const errors: SettingError[] = [];
-  const { peerAdvertisedAddress, peerBindAddress } = given;
+  const { peerAdvertisedAddress, peerBindAddress } = settings;
   if (peerAdvertisedAddress === undefined && wildcardHosts.has(peerBindAddress.host)) {
     errors.push(
       createSettingError('peerAdvertisedAddress', 'is required with a wildcard peer bind address'),
@@ -97,7 +97,7 @@
     );
   }
   // A key must not be forgotten while a request with it may still arrive.
-  if (given.retentionMilliseconds < 4 * given.leaseMilliseconds) {
+  if (settings.retentionMilliseconds < 4 * settings.leaseMilliseconds) {
     errors.push(
       createSettingError('retentionMilliseconds', 'must be at least 4 times leaseMilliseconds'),
     );
@@ -106,7 +106,7 @@
     ['peerSecret', 'previousPeerSecret'],
     ['operatorSecret', 'previousOperatorSecret'],
   ] as const) {
-    if (given[current] === given[previous]) {
+    if (settings[current] === settings[previous]) {
       errors.push(createSettingError(previous, `must differ from ${current}`));
     }
   }
--- a/packages/daemon/tests/configuration-synchronizer.test.ts
+++ b/packages/daemon/tests/configuration-synchronizer.test.ts
@@ -25,7 +25,7 @@
     },
     log: (event, fields) => this.logLines.push(`${event} ${JSON.stringify(fields)}`),
     ports: () => ({
-      links: {
+      connections: {
         broadcast: (frame) => {
           this.recordFrame('all', frame);
         },
--- a/packages/daemon/tests/driver/peer-body-stream.test.ts
+++ b/packages/daemon/tests/driver/peer-body-stream.test.ts
@@ -11,7 +11,7 @@
   PeerBodySource,
 } from '../../src/driver/peer-body-stream.js';
 
-const identity = { callId: 1, direction: 'answer' } as const;
+const bodyIdentity = { callId: 1, direction: 'answer' } as const;
 
 /**
  * Creates a sink and a source that receive each other's frames in a later turn of the event loop,
@@ -25,7 +25,7 @@
   let sentByteCount = 0;
   const sink: PeerBodySink = new PeerBodySink({
     onClosed: () => undefined,
-    identity,
+    identity: bodyIdentity,
     send: (frame: BodyFrame) => {
       if (frame.kind === 'body-chunk') sentByteCount += frame.bytes.length;
       setImmediate(() => {
@@ -35,7 +35,7 @@
   });
   const source: PeerBodySource = new PeerBodySource({
     onClosed: () => undefined,
-    identity,
+    identity: bodyIdentity,
     send: (frame) => {
       setImmediate(() => {
         sink.onFrame(frame);
--- a/packages/daemon/tests/keyed-outage.process.test.ts
+++ b/packages/daemon/tests/keyed-outage.process.test.ts
@@ -127,6 +127,7 @@
   }
 }
 
+/** Asserts that no key was executed twice. Returns the number of executions of each key that was executed. */
 async function assertRanAtMostOnce(fleet: ProcessFleet): Promise<ReadonlyMap<string, number>> {
   const counts = await executionsByKey(fleet);
   for (const [key, count] of counts) assert.is(count, 1, `key ${key} ran ${count} times`);
--- a/packages/daemon/tests/mesh-load.test.ts
+++ b/packages/daemon/tests/mesh-load.test.ts
@@ -50,7 +50,7 @@
         outcomes.inTime >= minimumInTimeShare,
         `seed ${seed}: ${outcomes.inTime.toFixed(3)} in time`,
       );
-      // Regression: requests that had missed their target stayed in the queue behind those that had not, and were
+      // Regression: requests that had missed their target latency stayed in the queue behind those that had not, and were
       // refused only shortly before their deadline, after 996 of 1,000 ms.
       if (outcomes.refused < 0.05) continue;
       const maximumRefusalMilliseconds = targetMilliseconds + refusalDelayToleranceMilliseconds;
--- a/packages/daemon/tests/planned-stop.process.test.ts
+++ b/packages/daemon/tests/planned-stop.process.test.ts
@@ -19,7 +19,7 @@
   entry: FleetServer;
 }
 
-const test = suite<Context>('planned stop');
+const test = suite<Context>('graceful shutdown');
 
 test.before(async (context) => {
   const issuance = [1, 2, 3].map((number) => createPlan('issuance', number));
@@ -40,7 +40,7 @@
 }
 
 // The nightly scale-down must not affect any caller, whatever its request is (I6).
-test('a planned stop under load truncates no response and leaves no outcome unknown', async (context) => {
+test('a graceful shutdown under load truncates no response and leaves no outcome unknown', async (context) => {
   const { entry, fleet } = context;
   const stoppingServer = fleet.server('issuance-1');
   const remainingServers = [entry, fleet.server('issuance-2'), fleet.server('issuance-3')];
@@ -91,7 +91,7 @@
 }
 
 // The new home of a key range must know the keys that were recorded on the server that left.
-test('answers recorded before a planned stop are kept after it', async ({ entry, fleet }) => {
+test('answers recorded before a graceful shutdown are kept after it', async ({ entry, fleet }) => {
   const keys = Array.from({ length: 24 }, () => newKey());
   const before = await Promise.all(keys.map((key) => sendKeyedRequest(entry, key)));
   assert.equal(countSummaries(before), { 'complete answered 200': keys.length });
--- a/packages/daemon/tests/platform-outage.process.test.ts
+++ b/packages/daemon/tests/platform-outage.process.test.ts
@@ -31,8 +31,8 @@
 interface Context {
   fleet: ProcessFleet;
   nodes: readonly FleetServer[];
-  first: FleetServer;
-  second: FleetServer;
+  firstNode: FleetServer;
+  secondNode: FleetServer;
 }
 
 const test = suite<Context>('platform outage and configuration');
@@ -41,8 +41,8 @@
   const plans = [1, 2, 3].map((number) => createPlan('provenance', number));
   context.fleet = await startTestFleet({ plans });
   context.nodes = [...context.fleet.servers.values()];
-  context.first = context.fleet.server('provenance-1');
-  context.second = context.fleet.server('provenance-2');
+  context.firstNode = context.fleet.server('provenance-1');
+  context.secondNode = context.fleet.server('provenance-2');
 });
 
 test.after(async ({ fleet }) => {
@@ -61,10 +61,10 @@
 // If two changes on the same base revision were both accepted, each operator would believe that
 // their value is in force.
 test('of two concurrent changes one is accepted and the other reports a conflict', async ({
-  first,
+  firstNode,
   fleet,
   nodes,
-  second,
+  secondNode,
 }) => {
   await setPlatformFault(fleet, { kind: 'slow', milliseconds: 150, when: 'before-effect' });
   let conflicts = 0;
@@ -73,8 +73,8 @@
     const texts = values.map((value) => `change service provenance deadline default ${value}`);
     const [firstText = '', secondText = ''] = texts;
     const results = await Promise.all([
-      changeConfiguration(first, firstText),
-      changeConfiguration(second, secondText),
+      changeConfiguration(firstNode, firstText),
+      changeConfiguration(secondNode, secondText),
     ]);
     const accepted = results.filter(({ status }) => status === 'accepted');
     const refused = results.filter(({ status }) => status === 'conflict');
@@ -102,21 +102,21 @@
 // applied twice.
 for (const lostAnswers of [1, 2, 3]) {
   test(`a change is applied once despite ${lostAnswers} lost answers of the store`, async ({
-    first,
+    firstNode,
     fleet,
     nodes,
-    second,
+    secondNode,
   }) => {
-    const before = await readGauge(first, 'configuration_revision');
+    const before = await readGauge(firstNode, 'configuration_revision');
     await setPlatformFault(fleet, { kind: 'lose-answers', transactions: lostAnswers });
     const value = `${lostAnswers}s`;
     const result = await changeConfiguration(
-      first,
+      firstNode,
       `change service provenance ramp ${value} wait up to 20s`,
     );
     assert.is(result.status, 'accepted', JSON.stringify(result));
     assert.is(result.revision, before + 1);
-    const [row] = await queryRows(second, `show change ${result.changeId}`);
+    const [row] = await queryRows(secondNode, `show change ${result.changeId}`);
     assert.is(row?.state, 'in-force');
     for (const node of nodes) {
       await waitFor('the revision is in force', async () => {
@@ -129,24 +129,24 @@
 
 // If nodes needed the store for each request, they would stop answering during its outage.
 test('lookups continue during an outage, and a node started meanwhile joins after it', async ({
-  first,
+  firstNode,
   fleet,
   nodes,
 }) => {
   await setPlatformFault(fleet, { active: true, kind: 'down' });
   const outageEndsAt = performance.now() + outageMilliseconds;
   const load = new SteadyLoad(6, (caller) => {
-    return call(nodes[caller % nodes.length] ?? first, '/provenance/x?ms=5');
+    return call(nodes[caller % nodes.length] ?? firstNode, '/provenance/x?ms=5');
   });
   await fleet.startServers([createPlan('provenance', 4)]);
   const newNode = fleet.server('provenance-4');
-  const changeReply = await changeConfiguration(first, 'change service provenance ramp 9s');
+  const changeReply = await changeConfiguration(firstNode, 'change service provenance ramp 9s');
   // `rejected` means that nothing was written, which is checked below.
   assert.ok(['rejected', 'unresolved'].includes(changeReply.status), JSON.stringify(changeReply));
   const resultDuringOutage = await call(newNode, '/provenance/x', { deadlineMilliseconds: 1_000 });
   assert.is(resultDuringOutage.outcome, 'refused-not-run', summaryOf(resultDuringOutage));
   await sleep(Math.max(0, outageEndsAt - performance.now()));
-  assert.is(await readGauge(first, 'platform_reachable'), 0);
+  assert.is(await readGauge(firstNode, 'platform_reachable'), 0);
   await setPlatformFault(fleet, { active: false, kind: 'down' });
   await waitForMembers(fleet, nodes.length + 1);
   await waitFor('the new node answers requests', async () => {
@@ -155,7 +155,7 @@
   const results = await load.stop();
   assert.equal(Object.keys(countSummaries(results)), ['complete answered 200']);
   await waitFor('the state of the change is known', async () => {
-    const [row] = await queryRows(first, `show change ${changeReply.changeId}`);
+    const [row] = await queryRows(firstNode, `show change ${changeReply.changeId}`);
     return ['in-force', 'not-found', 'rejected'].includes(String(row?.state));
   });
   if (changeReply.status === 'rejected') {
--- a/packages/daemon/tests/reasons.process.test.ts
+++ b/packages/daemon/tests/reasons.process.test.ts
@@ -207,7 +207,8 @@
   await runOperatorCommand(entry, 'restore server provenance-1');
 });
 
-// A declared limit must also be applied to a tenant that is still within its share.
+// The declared maximum must also apply to a tenant that is within its fair share of the gate's slots. The tenant is
+// within its share here, so only the maximum can cause the refusals.
 test('the refusals of a tenant above its declared limit are counted', async ({ entry, gate }) => {
   await runOperatorCommand(entry, 'change service provenance tenant-in-flight maximum 1');
   const longCalls = new LongRunningCalls();
--- a/packages/daemon/tests/server-message-buffer.test.ts
+++ b/packages/daemon/tests/server-message-buffer.test.ts
@@ -20,30 +20,31 @@
 
 const leave: ServerMessage = { instanceId: 'i-1', kind: 'leave' };
 
-/** What comes before and after the inbox opens, and what is taken then. */
+/** Each case: its name, the messages received before and after the buffer is released, and those delivered. */
 const cases: readonly (readonly [
   string,
   readonly ServerMessage[],
   readonly ServerMessage[],
   readonly ServerMessage[],
 ])[] = [
-  ['nothing is taken before it opens', [report('i-1')], [], []],
+  ['delivers no report before it is released', [report('i-1')], [], []],
   [
-    'what was kept is taken in its order',
+    'delivers buffered reports in the order of their arrival',
     [report('i-1'), report('i-2')],
     [report('i-3')],
     [report('i-1'), report('i-2'), report('i-3')],
   ],
-  // Its confirmation binds at once; earlier reports have lower numbers and change nothing after it.
+  // The server receives the confirmation of its drain at once, so the drain must take effect at once. Reports received
+  // earlier have lower sequence numbers and change nothing after it.
   [
-    'that a server drains is taken at once',
+    'delivers at once that a server is draining',
     [report('i-1'), report('i-1', true)],
     [report('i-2')],
     [report('i-1', true), report('i-1'), report('i-2')],
   ],
-  ['that a server leaves is taken at once', [leave], [], [leave]],
+  ['delivers at once that a server leaves', [leave], [], [leave]],
   [
-    'a server that left does not come back by what it said before',
+    'discards the earlier reports of a server that has left',
     [report('i-1'), report('i-2'), leave],
     [report('i-3')],
     [leave, report('i-2'), report('i-3')],
@@ -52,13 +53,13 @@
 
 for (const [name, before, after, expected] of cases) {
   test(name, () => {
-    const taken: ServerMessage[] = [];
-    const inbox = new ServerMessageBuffer((message) => taken.push(message));
-    for (const message of before) inbox.receive(message);
-    if (after.length > 0) inbox.release();
-    for (const message of after) inbox.receive(message);
-    assert.is(inbox.isReleased, after.length > 0);
-    assert.equal(taken, expected);
+    const delivered: ServerMessage[] = [];
+    const buffer = new ServerMessageBuffer((message) => delivered.push(message));
+    for (const message of before) buffer.receive(message);
+    if (after.length > 0) buffer.release();
+    for (const message of after) buffer.receive(message);
+    assert.is(buffer.isReleased, after.length > 0);
+    assert.equal(delivered, expected);
   });
 }
 
--- a/packages/daemon/tests/virtual-mesh.test.ts
+++ b/packages/daemon/tests/virtual-mesh.test.ts
@@ -3,13 +3,13 @@
 
 import { simulateMesh } from './virtual-mesh/simulate-mesh.js';
 
-/** Seeds that failed in the past are kept, each with its cause. `virtual-mesh/main.js` runs any number of seeds. */
-const faultSeeds: readonly (readonly [number, string])[] = [
+/** Arbitrary seeds, and seeds that failed in the past with the cause of the failure. `virtual-mesh/main.js` runs any number of seeds. */
+const seedCases: readonly (readonly [number, string])[] = [
   ...Array.from({ length: 12 }, (_, index) => [index + 1, 'arbitrary seed'] as const),
-  [1_445, 'a lifetime first observed by a health check never got its start time'],
+  [1_445, 'an incarnation of a server first observed by a health check never got its start time'],
 ];
 
-for (const [seed, cause] of faultSeeds) {
+for (const [seed, cause] of seedCases) {
   test(`seed ${seed} (${cause}): all guarantees hold while processes, servers, links and the store fail`, async () => {
     const { answered, violations, requests } = await simulateMesh(seed);
     assert.equal(violations, []);
--- a/packages/daemon/tests/virtual-mesh/simulate-mesh.ts
+++ b/packages/daemon/tests/virtual-mesh/simulate-mesh.ts
@@ -232,12 +232,12 @@
       violations.push(`${request.requestId}: ${violation}`);
   }
   for (const { server } of mesh.machines) {
-    for (const { at, lifetime, requestId } of server.runs) {
-      const confirmedAt = server.endConfirmedAt.get(lifetime);
+    for (const { at, incarnation, requestId } of server.runs) {
+      const confirmedAt = server.endConfirmedAt.get(incarnation);
       // Requests that were in transit when the server began to drain arrive within a millisecond.
       if (confirmedAt !== undefined && at > confirmedAt + 1) {
         violations.push(
-          `${requestId}: started at ${lifetime} after the end of this lifetime was confirmed`,
+          `${requestId}: started at ${incarnation} after the end of this incarnation was confirmed`,
         );
       }
     }
--- a/packages/daemon/tests/virtual-mesh/virtual-links.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-links.ts
@@ -116,7 +116,7 @@
       [to, from],
     ] as const) {
       node.driver.onConnected({
-        ...other.driver.greeting,
+        ...other.driver.helloPayload,
         kind: 'hello',
         node: other.self,
         protocol: 1,
--- a/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-mesh.ts
@@ -67,7 +67,7 @@
   public readonly requests: VirtualRequest[] = [];
   public version = 0;
   private entries = new Map<string, MeshNode>();
-  /** The version in the store; older than `version` after a restore from a backup. */
+  /** The version of the configuration in the store; lower than `version` after a restore from a backup. */
   private storedVersion = 0;
   private era = 1;
   private readonly snapshots: StoreSnapshot[] = [];
@@ -326,7 +326,7 @@
         },
         stop: () => undefined,
       },
-      links: {
+      connections: {
         broadcast: (frame) => {
           this.links.broadcast(node, frame);
         },
--- a/packages/daemon/tests/virtual-mesh/virtual-server.ts
+++ b/packages/daemon/tests/virtual-mesh/virtual-server.ts
@@ -9,8 +9,8 @@
 export interface Run {
   readonly requestId: string;
   readonly at: number;
-  /** Identifies one lifetime of a server; instance identifiers may be reused. */
-  readonly lifetime: string;
+  /** Identifies one incarnation of a server; instance identifiers may be reused. */
+  readonly incarnation: string;
 }
 
 export interface VirtualServerOptions {
@@ -36,17 +36,17 @@
 export const meanWorkMilliseconds =
   shortestWorkMilliseconds + (longestWorkMilliseconds - shortestWorkMilliseconds) / 3;
 
-/** A server beside a node. Its lifetimes end either by draining and leaving or without notice. */
+/** A server beside a node. Its incarnations end either by draining and leaving or without notice. */
 export class VirtualServer {
   public readonly runs: Run[] = [];
-  /** Time at which the end of each lifetime was confirmed; no request may start in that lifetime afterwards. */
+  /** Time at which the end of each incarnation was confirmed; no request may start in that incarnation afterwards. */
   public readonly endConfirmedAt = new Map<string, number>();
   /** Share of answers that are lost because the connection is reset. */
   public lostAnswerShare = 0;
   public slowdown = 1;
-  private lifetimeNumber = 0;
+  private incarnationNumber = 0;
   private instanceId = '';
-  private lifetimeStartedAt = 0;
+  private incarnationStartedAt = 0;
   private sequence = 0;
   private isDraining = false;
   private running = 0;
@@ -54,26 +54,26 @@
   private readonly cancelByExecution = new Map<number, () => void>();
 
   public constructor(private readonly options: VirtualServerOptions) {
-    this.startLifetime('i-1');
+    this.startIncarnation('i-1');
     options.queue.after(reportIntervalMilliseconds * options.random.next(), () => {
       this.reportPeriodically();
     });
   }
 
-  /** Ends the lifetime without notice; the next one has the same instance identifier or a new one. */
+  /** Ends the incarnation without notice; the next one has the same instance identifier or a new one. */
   public restart(keepsIdentifier: boolean): void {
-    this.startLifetime(keepsIdentifier ? this.instanceId : `i-${this.lifetimeNumber + 1}`);
+    this.startIncarnation(keepsIdentifier ? this.instanceId : `i-${this.incarnationNumber + 1}`);
   }
 
   /** Drains, leaves once nothing runs, and starts again. The leave message is repeated until it is confirmed. */
   public replace(keepsIdentifier: boolean): void {
-    const { lifetime } = this;
+    const { incarnation } = this;
     this.isDraining = true;
     void this.report().then((isConfirmed) => {
-      if (isConfirmed) this.endConfirmedAt.set(lifetime, this.options.queue.now);
+      if (isConfirmed) this.endConfirmedAt.set(incarnation, this.options.queue.now);
     });
     this.options.queue.after(200, () => {
-      void this.leave(lifetime, keepsIdentifier);
+      void this.leave(incarnation, keepsIdentifier);
     });
   }
 
@@ -85,14 +85,14 @@
         onConcluded(executionId, { detail: 'not run', kind: 'not-run', reason });
         return;
       }
-      const { lifetime } = this;
-      this.runs.push({ at: queue.now, lifetime, requestId: frame.requestId });
+      const { incarnation } = this;
+      this.runs.push({ at: queue.now, incarnation, requestId: frame.requestId });
       this.running += 1;
       const spread = longestWorkMilliseconds - shortestWorkMilliseconds;
       const work = (shortestWorkMilliseconds + spread * random.next() ** 2) * this.slowdown;
       const cancel = queue.after(work, () => {
         this.cancelByExecution.delete(executionId);
-        if (lifetime !== this.lifetime) {
+        if (incarnation !== this.incarnation) {
           onConcluded(executionId, { detail: 'the server ended', kind: 'failed' });
           return;
         }
@@ -107,7 +107,7 @@
       });
       this.cancelByExecution.set(executionId, () => {
         cancel();
-        if (lifetime === this.lifetime) this.running -= 1;
+        if (incarnation === this.incarnation) this.running -= 1;
       });
     });
   }
@@ -134,30 +134,30 @@
     };
   }
 
-  private get lifetime(): string {
-    return `${this.options.name}/${this.lifetimeNumber}`;
+  private get incarnation(): string {
+    return `${this.options.name}/${this.incarnationNumber}`;
   }
 
-  private async leave(lifetime: string, keepsIdentifier: boolean): Promise<void> {
-    if (lifetime !== this.lifetime) return;
+  private async leave(incarnation: string, keepsIdentifier: boolean): Promise<void> {
+    if (incarnation !== this.incarnation) return;
     const { instanceId } = this;
     const isConfirmed =
       (await this.report()) && (await this.options.sendMessage({ instanceId, kind: 'leave' }));
-    if (lifetime !== this.lifetime) return;
+    if (incarnation !== this.incarnation) return;
     if (isConfirmed && this.running === 0) {
       this.restart(keepsIdentifier);
       return;
     }
     this.options.queue.after(50, () => {
-      void this.leave(lifetime, keepsIdentifier);
+      void this.leave(incarnation, keepsIdentifier);
     });
   }
 
-  private startLifetime(instanceId: string): void {
-    this.lifetimeNumber += 1;
+  private startIncarnation(instanceId: string): void {
+    this.incarnationNumber += 1;
     this.instanceId = instanceId;
-    // Nodes expect an integer. The addend makes lifetimes differ that begin within the same millisecond.
-    this.lifetimeStartedAt = Math.ceil(this.options.queue.now) + this.lifetimeNumber;
+    // Nodes expect an integer. The addend makes incarnations differ that begin within the same millisecond.
+    this.incarnationStartedAt = Math.ceil(this.options.queue.now) + this.incarnationNumber;
     this.sequence = 0;
     this.isDraining = false;
     this.running = 0;
@@ -183,7 +183,7 @@
         instanceId: this.instanceId,
         sequence: this.sequence,
         slots: this.options.slots,
-        startedAt: this.lifetimeStartedAt,
+        startedAt: this.incarnationStartedAt,
       },
     };
     const { queue, random, sendMessage } = this.options;
--- a/packages/mesh-core/src/entry/caller-time-limits.ts
+++ b/packages/mesh-core/src/entry/caller-time-limits.ts
@@ -34,7 +34,7 @@
   private readonly byRoute = new RouteMap<RouteLimits>();
 
   /** Records the time limit of a request, and estimates how long its caller has already spent on earlier attempts. */
-  public estimateSpentBefore(routeName: string, givenMilliseconds: number): number {
+  public estimateMillisecondsSpentBefore(routeName: string, givenMilliseconds: number): number {
     const limits = this.byRoute.getOrCreate(routeName, createRouteLimits);
     limits.samples.push(givenMilliseconds);
     if (limits.samples.length > keptSamples) limits.samples.shift();
--- a/packages/mesh-core/src/entry/request-forwarder.ts
+++ b/packages/mesh-core/src/entry/request-forwarder.ts
@@ -81,7 +81,7 @@
       deadline,
       isNested,
       this.configurationVersion,
-      isNested ? 0 : this.estimateSpentBefore(request),
+      isNested ? 0 : this.estimateMillisecondsSpentBefore(request),
     );
     this.requests.set(request.requestNumber, state);
     this.deadlines.push(deadline, state);
@@ -134,8 +134,9 @@
   }
 
   /**
-   * Handles a restored connection to a node. The same incarnation of its process is sent the start frames
-   * again and recognizes those that it already has. Requests of an earlier incarnation ended with it.
+   * Handles a restored connection to a node. If its `boot` is unchanged, its process has kept running: the start
+   * frames are sent again, and the node ignores those that it has already received. Otherwise the process has been
+   * restarted, and the attempts at the node ended with the previous process.
    */
   public onConnectionRestored(nodeName: string, boot: number, now: number): void {
     for (const attempt of [...this.attempts.values()]) {
@@ -154,7 +155,7 @@
     }
   }
 
-  /** The earliest deadline of the requests in progress; Infinity if there is none. */
+  /** The earliest scheduled deadline; Infinity if there is none. The deadline of a concluded request stays until it passes. */
   public get nextDeadline(): number {
     return this.deadlines.peekTime() ?? Infinity;
   }
@@ -261,8 +262,8 @@
 
   /** Logs why there is no retry. Hedging is tried at each tick, so the same reason is logged only once in a row. */
   private denyRetry(state: RequestState, cause: string, reason: string): false {
-    if (state.lastRetryDenial === reason) return false;
-    state.lastRetryDenial = reason;
+    if (state.lastRetryDenialReason === reason) return false;
+    state.lastRetryDenialReason = reason;
     this.log(EntryEventName.RequestNotRepeated, state, { cause, reason });
     return false;
   }
@@ -420,10 +421,14 @@
   }
 
   /** Estimated time that the caller has already spent on earlier attempts at this request. */
-  private estimateSpentBefore({ callerDeadline, receivedAt, route }: EntryRequest): number {
+  private estimateMillisecondsSpentBefore({
+    callerDeadline,
+    receivedAt,
+    route,
+  }: EntryRequest): number {
     const givenMilliseconds = callerDeadline - receivedAt;
     return Number.isFinite(givenMilliseconds)
-      ? this.callerTimeLimits.estimateSpentBefore(route.name, givenMilliseconds)
+      ? this.callerTimeLimits.estimateMillisecondsSpentBefore(route.name, givenMilliseconds)
       : 0;
   }
 
@@ -458,6 +463,7 @@
     const { receivedAt, route } = state.request;
     this.log(EntryEventName.RequestConcluded, state, {
       configuration: state.configurationVersion,
+      // Declines as busy are not counted separately; the count of attempts that permit them is used instead.
       declined: state.finalDeclineCount + state.optionalAttemptCount,
       gate: nodeName ?? 'none',
       late: now > state.targetDeadline,
--- a/packages/mesh-core/src/entry/request-state.ts
+++ b/packages/mesh-core/src/entry/request-state.ts
@@ -28,7 +28,10 @@
 /** State of a request that is in progress at its entry. */
 export class RequestState {
   public readonly attempts = new Map<number, Attempt>();
-  /** Gates that declined, with the time each expects until an answer; infinite if it declined for good. */
+  /**
+   * The gates that declined, with the time until an answer that each reported if it was busy. It is infinite if the gate
+   * is unreachable or declined for another reason, since it is not asked again for this request.
+   */
   public readonly expectedMillisecondsByDecliningNode = new Map<string, number>();
   /** Number of gates that are unreachable or declined for a reason other than being busy. */
   public finalDeclineCount = 0;
@@ -45,8 +48,8 @@
   /** Whether a server received the request and reported that it did not run it. */
   public hasServerRefusal = false;
   public isConcluded = false;
-  /** Why the last retry was denied. */
-  public lastRetryDenial: string | undefined;
+  /** The reason for which the last retry was denied; the same reason is logged only once in a row. */
+  public lastRetryDenialReason: string | undefined;
   /** Monotonic time at which the target latency has passed; a later answer is worth less to the caller. */
   public readonly targetDeadline: number;
 
--- a/packages/mesh-core/src/gate/server-gate.ts
+++ b/packages/mesh-core/src/gate/server-gate.ts
@@ -24,7 +24,7 @@
 import { RecentFailures } from './recent-failures.js';
 import { ReportEffect, ServerIncarnationTracker } from './server-incarnation-tracker.js';
 import { SpeedState, ServerSpeedTracker } from './server-speed-tracker.js';
-import { StartRate } from './start-rate.js';
+import { StartIntervalEstimator } from './start-interval-estimator.js';
 import { shortestUsefulMilliseconds, ServiceTimeEstimator } from './service-time-estimator.js';
 
 /**
@@ -85,7 +85,7 @@
   private readonly estimator = new ServiceTimeEstimator(this.speed, this.concurrencyLimit);
   private readonly probes: ProbeRateLimiter;
   private readonly failures = new RecentFailures();
-  private readonly startRate = new StartRate();
+  private readonly startIntervalEstimator = new StartIntervalEstimator();
   private readonly calls = new GateCallRegistry();
   private running = 0;
   private nestedRunning = 0;
@@ -423,7 +423,8 @@
     if (this.running + position <= limit) return 0;
     const excess = Math.max(0, this.running - limit);
     const byService = ((position + excess) * this.estimator.meanServiceMilliseconds) / limit;
-    const interval = this.queue.size === 0 ? undefined : this.startRate.intervalMilliseconds(now);
+    const interval =
+      this.queue.size === 0 ? undefined : this.startIntervalEstimator.intervalMilliseconds(now);
     return interval === undefined ? byService : Math.max(byService, position * interval);
   }
 
@@ -500,7 +501,7 @@
     this.running += 1;
     this.lastActivityAt = now;
     if (frame.nested) this.nestedRunning += 1;
-    else if (now - call.arrivedAt > 0) this.startRate.recordStart(now);
+    else if (now - call.arrivedAt > 0) this.startIntervalEstimator.recordStart(now);
     call.runningAtStart = this.running;
     call.isFastAtStart = this.speed.state(now) === SpeedState.Fast;
     call.slowdownAtStart = this.speed.hasReports ? this.speed.currentSlowdown : 1;
--- a/packages/mesh-core/src/gate/server-speed-tracker.ts
+++ b/packages/mesh-core/src/gate/server-speed-tracker.ts
@@ -50,7 +50,7 @@
     return now - this.reportedAt;
   }
 
-  /** The lowest recent slowdown factor, at which requests are normally started. */
+  /** The lowest recent slowdown factor, which is taken as the server's normal speed; 1 before the first report. */
   public get baselineSlowdown(): number {
     return this.hasSample ? this.lowestSlowdown : 1;
   }
--- a/packages/mesh-core/src/gate/start-rate.ts
+++ b/packages/mesh-core/src/gate/start-interval-estimator.ts
@@ -1,12 +1,12 @@
 /** Number of latest starts that are kept. */
 const maximumStarts = 8;
-/** Minimum number of recent starts from which a rate is derived. */
+/** Minimum number of recent starts from which an interval is derived. */
 const minimumStarts = 4;
 /** Age after which a start is no longer considered. */
 const windowMilliseconds = 1_000;
 
-/** Measures how often queued requests are started, whatever requests precede them. */
-export class StartRate {
+/** Estimates the interval at which queued requests are started, whatever requests precede them. */
+export class StartIntervalEstimator {
   private readonly starts: number[] = [];
 
   /** Records the start of a request that had waited. */
@@ -15,7 +15,10 @@
     if (this.starts.length > maximumStarts) this.starts.shift();
   }
 
-  /** Mean interval between two starts; undefined if there are too few recent starts. */
+  /**
+   * Mean interval between recent starts of queued requests, over the time from the first of them until now; undefined
+   * if there are too few recent starts.
+   */
   public intervalMilliseconds(now: number): number | undefined {
     const recent = this.starts.filter((start) => now - start < windowMilliseconds);
     const [first] = recent;
--- a/packages/mesh-core/src/membership/node-directory.ts
+++ b/packages/mesh-core/src/membership/node-directory.ts
@@ -10,10 +10,11 @@
  * other nodes dialing it, so it is dialed more often.
  */
 const recentlyAnnouncedMilliseconds = 10_000;
-const maximumRecentRedialMilliseconds = 300;
+/** Maximum redial delay for a node that was announced or lost within `recentlyAnnouncedMilliseconds`. */
+const maximumRedialMillisecondsIfRecentlyAnnounced = 300;
 /**
- * Time for which a node whose connection was lost is dialed even if it is not selected: requests sent to it stay
- * pending until it is connected again or refuses the connection.
+ * Time for which a node whose connection was lost is dialed even if this node has not selected it as a peer, because
+ * requests sent to it stay pending until it is connected again or refuses the connection.
  */
 const lostConnectionRedialMilliseconds = 3_000;
 /** A node that is not selected is not dialed; it is forgotten when no source has announced it for this long. */
@@ -48,7 +49,7 @@
     this.selection = new PeerSelection(self);
   }
 
-  /** Number of nodes that may be running, including this one. */
+  /** Number of known nodes, including this one and unreachable nodes that are not forgotten yet. */
   public get nodeCount(): number {
     return this.knownNodes.size + 1;
   }
@@ -132,7 +133,7 @@
     const backoffMilliseconds = minimumRedialMilliseconds * 2 ** Math.min(known.failedDialCount, 5);
     const isRecent = now - known.lastAnnouncedAt < recentlyAnnouncedMilliseconds;
     const maximumMilliseconds = isRecent
-      ? maximumRecentRedialMilliseconds
+      ? maximumRedialMillisecondsIfRecentlyAnnounced
       : maximumRedialMilliseconds;
     known.nextDialAt = now + Math.min(backoffMilliseconds, maximumMilliseconds);
   }
--- a/packages/mesh-core/src/membership/peer-selection.ts
+++ b/packages/mesh-core/src/membership/peer-selection.ts
@@ -7,16 +7,23 @@
 /** Up to this number of nodes, every node connects to every other: fewer connections would save little. */
 export const maximumFullMeshNodes = 32;
 /**
- * Number of gates that a node selects for each service. Nodes that selected this one are connected as well, so more
- * gates are available. Among six or more, the best one is seldom busy while others are idle.
+ * Number of gates that this node selects for each service. It is connected to more gates than that, because other
+ * nodes that selected this node connect to it. With six or more gates to choose from, the best of them is seldom busy
+ * while other gates of the service are idle.
  */
 const gatesPerService = 6;
-/** Of these, gates in the own availability zone, if it has that many. The others are for when it has no capacity. */
+/**
+ * Number of these gates that are in the own availability zone, if it has that many. The remaining ones are in other
+ * zones and are used when the own zone has no capacity.
+ */
 const ownZoneGatesPerService = 4;
 /** The first nodes of the own zone by rank: the two that watch the configuration in the store, and one to take over. */
 const configurationWatcherCandidates = 3;
-/** Unreachable nodes stay selected beside their replacements, up to this multiple of the number wanted. */
-const maximumTriedFactor = 2;
+/**
+ * Unreachable nodes stay selected in addition to their replacements. The number of selected nodes is at most this
+ * multiple of the wanted number.
+ */
+const maximumSelectedFactor = 2;
 
 interface Candidate {
   readonly name: string;
@@ -49,11 +56,11 @@
   ): number {
     this.sort();
     let reachableCount = 0;
-    let triedCount = 0;
+    let selectedCount = 0;
     for (const { name } of this.candidates) {
-      if (reachableCount >= limit || triedCount >= limit * maximumTriedFactor) break;
+      if (reachableCount >= limit || selectedCount >= limit * maximumSelectedFactor) break;
       selected.add(name);
-      triedCount += 1;
+      selectedCount += 1;
       if (isReachable(name)) reachableCount += 1;
     }
     return reachableCount;
--- a/packages/mesh-core/src/placement/placement-policy.ts
+++ b/packages/mesh-core/src/placement/placement-policy.ts
@@ -25,13 +25,13 @@
 const fullGateCost = 0.02;
 /** Gates whose costs differ by less than this count as equal, and one of them is chosen at random. */
 const tieCostDifference = 0.003;
-/** Probability that the wait for a busy or slowed-down server lasts for another slowdown span. */
+/** Probability that the wait for a busy or slowed-down server takes `slowdownSpanMilliseconds` longer than expected. */
 const additionalSpanProbability = 0.25;
 /** Length of the spans in which neighbouring workloads slow a server down; older slowdown reports are ignored. */
 const slowdownSpanMilliseconds = 150;
 /** An expected time above this multiple of the service time is taken to include a wait. */
 const waitingFactor = 1.25;
-/** A server is slow if it takes this many times as long as its peers; the mix of requests explains less. */
+/** A server is slow if it takes this many times as long as its peers. Different mixes of requests cause smaller differences. */
 const slowServerFactor = 1.6;
 
 export interface PlacementPolicyOptions {
--- a/packages/mesh-core/src/routes/route-table.ts
+++ b/packages/mesh-core/src/routes/route-table.ts
@@ -37,6 +37,6 @@
 function pathOf(target: string): string {
   const origin = /^https?:\/\/[^/?#]*/i.exec(target)?.[0] ?? '';
   const rest = target.slice(origin.length);
-  const query = rest.indexOf('?');
-  return query < 0 ? rest : rest.slice(0, query);
+  const queryIndex = rest.indexOf('?');
+  return queryIndex < 0 ? rest : rest.slice(0, queryIndex);
 }
--- a/packages/mesh-core/tests/entry/caller-time-limits.test.ts
+++ b/packages/mesh-core/tests/entry/caller-time-limits.test.ts
@@ -89,8 +89,8 @@
 } of cases) {
   test(title, () => {
     const limits = new CallerTimeLimits();
-    for (const limit of earlier) limits.estimateSpentBefore(route, limit);
-    assert.is(limits.estimateSpentBefore(route, given), spent);
+    for (const limit of earlier) limits.estimateMillisecondsSpentBefore(route, limit);
+    assert.is(limits.estimateMillisecondsSpentBefore(route, given), spent);
   });
 }
 
@@ -100,26 +100,26 @@
   const limits = new CallerTimeLimits();
   for (let sent = 0; sent < 500; sent += 1) {
     const isRetry = random.next() < 0.5;
-    limits.estimateSpentBefore(route, isRetry ? 500 + random.next() * 500 : 1_200);
+    limits.estimateMillisecondsSpentBefore(route, isRetry ? 500 + random.next() * 500 : 1_200);
   }
   for (const given of [550, 700, 850, 950]) {
-    assert.is(limits.estimateSpentBefore(route, given), 1_200 - given);
+    assert.is(limits.estimateMillisecondsSpentBefore(route, given), 1_200 - given);
   }
 });
 
 test('a limit that all callers adopt becomes the common limit', () => {
   const limits = new CallerTimeLimits();
-  for (const limit of repeated(64, 1_200)) limits.estimateSpentBefore(route, limit);
-  for (const limit of repeated(64, 800)) limits.estimateSpentBefore(route, limit);
-  assert.is(limits.estimateSpentBefore(route, 800), 0);
+  for (const limit of repeated(64, 1_200)) limits.estimateMillisecondsSpentBefore(route, limit);
+  for (const limit of repeated(64, 800)) limits.estimateMillisecondsSpentBefore(route, limit);
+  assert.is(limits.estimateMillisecondsSpentBefore(route, 800), 0);
 });
 
 test('limits are kept for each route and removed with it', () => {
   const limits = new CallerTimeLimits();
-  for (const limit of repeated(16, 1_200)) limits.estimateSpentBefore(route, limit);
-  assert.is(limits.estimateSpentBefore('others', 700), 0);
+  for (const limit of repeated(16, 1_200)) limits.estimateMillisecondsSpentBefore(route, limit);
+  assert.is(limits.estimateMillisecondsSpentBefore('others', 700), 0);
   limits.retain(new Set(['others']));
-  assert.is(limits.estimateSpentBefore(route, 700), 0);
+  assert.is(limits.estimateMillisecondsSpentBefore(route, 700), 0);
 });
 
 test.run();
--- a/packages/mesh-core/tests/entry/request-forwarder.test.ts
+++ b/packages/mesh-core/tests/entry/request-forwarder.test.ts
@@ -298,8 +298,9 @@
   assert.is(fixture.startFrames[1]?.frame.remainingMilliseconds, 450);
 });
 
-// Under overload, a third of the requests are retries by callers that were refused. When these were taken for new
-// requests, they ran before requests that could still meet their target, although their own target had passed.
+// Regression: under overload, a third of the requests are retries by callers whose earlier request was refused. When
+// the target latency of a retry counted from the arrival of the retry, it ran before requests that could still meet
+// their target, although its own target, counted from the caller's first request, had passed.
 test("the target latency of a caller's retry counts from its first request", () => {
   const fixture = new EntryFixture();
   const target = { targetLatencyMilliseconds: 300 };
--- a/packages/mesh-core/tests/gate/server-gate.test.ts
+++ b/packages/mesh-core/tests/gate/server-gate.test.ts
@@ -193,8 +193,8 @@
 interface SlowdownWaitCase {
   readonly name: string;
   readonly frame: Partial<StartFrame>;
-  /** Time from its arrival until the request starts during a slowdown that does not end. */
-  readonly startsAfter: number;
+  /** Milliseconds from the arrival of the request until it starts, during a slowdown that does not end. */
+  readonly startDelayMilliseconds: number;
 }
 
 /** A request takes 50 ms at normal speed and 250 ms during the slowdown. */
@@ -202,23 +202,23 @@
   {
     frame: { targetMilliseconds: 400 },
     name: 'starts a request that can still meet its target just in time for it',
-    startsAfter: 150,
+    startDelayMilliseconds: 150,
   },
   // Without the wait the request started during the slowdown, missed its target all the same and held its slot
   // five times as long.
   {
     frame: { targetMilliseconds: 200 },
     name: 'holds back a request that would miss its target for the duration of two slowdowns',
-    startsAfter: 300,
+    startDelayMilliseconds: 300,
   },
   {
     frame: { nested: true, targetMilliseconds: 100 },
     name: 'holds back a nested call, whose parent holds a slot, for less than one slowdown',
-    startsAfter: 100,
+    startDelayMilliseconds: 100,
   },
 ];
 
-for (const { frame, name, startsAfter } of slowdownWaitCases) {
+for (const { frame, name, startDelayMilliseconds } of slowdownWaitCases) {
   test(`in a slowdown that does not end, ${name}`, () => {
     const harness = new GateHarness();
     harness.gate.onServerLoad(serverLoad(1), 0);
@@ -230,7 +230,7 @@
       harness.gate.tick(now);
       if (harness.running.length > 0) startedAt ??= now;
     }
-    assert.is(startedAt, 105 + startsAfter);
+    assert.is(startedAt, 105 + startDelayMilliseconds);
   });
 }
 
--- a/packages/nodes/src/mesh/mesh-frame-codec.ts
+++ b/packages/nodes/src/mesh/mesh-frame-codec.ts
@@ -51,7 +51,10 @@
 const maximumFrameBytes = 68_157_440;
 /** Limit until the hello, which holds one node and a few servers, has identified the sender. */
 const maximumHelloBytes = 65_536;
-/** Bounds the memory that compressed content can take. Values in the store have at most 1 MiB. */
+/**
+ * Limit on the size of a configuration after decompression, which bounds the memory that a small compressed frame can
+ * take. It is far above the 1 MiB that a value in the store can have, so it rejects no valid configuration.
+ */
 const maximumConfigurationBytes = 16_777_216;
 
 /** Field names that are encoded as numbers, in the order of their numbers. Append new names at the end only. */
--- a/packages/nodes/src/peer-authentication.ts
+++ b/packages/nodes/src/peer-authentication.ts
@@ -6,7 +6,10 @@
   readonly previous?: string | undefined;
 }
 
-/** Part of each proof, so that a proof of one side can't be sent back as the proof of the other. */
+/**
+ * Whether a node dialed or accepted the connection. The signer's side is part of each proof, so that a proof of one
+ * side can't be sent back as the proof of the other.
+ */
 export type ConnectionSide = 'dialed' | 'accepted';
 
 export interface ProofInput {
--- a/packages/nodes/src/peer-connection.ts
+++ b/packages/nodes/src/peer-connection.ts
@@ -256,7 +256,7 @@
   }
 }
 
-/** Whether a frame belongs to a call, so that a silent other side has to be detected. */
+/** Whether a frame belongs to a call. After such a frame, the connection must notice if the peer stops responding. */
 function isCallFrame({ kind }: PeerFrame): boolean {
   return (
     kind.startsWith('request-') ||
--- a/packages/nodes/tests/mesh-connections.test.ts
+++ b/packages/nodes/tests/mesh-connections.test.ts
@@ -100,9 +100,9 @@
   });
 });
 
-// The state changed between sending the hello and receiving that of the other side: the hello announced the
-// server as absent, and it became ready in the meantime. The change was not sent on the new connection, so no
-// node sent a request to that server until its next change.
+// Regression: if the state of the server changed after a node had sent its hello and before it received the peer's
+// hello, the change was not sent on the new connection. When the hello announced the server as absent and the server
+// became ready in the meantime, no node sent requests to the server until its next change.
 test('a change during the handshake of a connection is sent on it', async () => {
   await withTwoNodes(async (first, second) => {
     first.connections.dial(second.self);
--- a/packages/platform/src/key-values/cancellable-delays.ts
+++ b/packages/platform/src/key-values/cancellable-delays.ts
@@ -1,7 +1,7 @@
 const minimumBackOffMilliseconds = 150;
 const maximumBackOffMilliseconds = 1_000;
 
-/** Delays that all end early when they are closed. */
+/** Delays that all end early when this object is closed. */
 export class CancellableDelays {
   private readonly wakeCallbacks = new Set<() => void>();
   private isClosed = false;
--- a/packages/platform/src/key-values/configuration-reading.ts
+++ b/packages/platform/src/key-values/configuration-reader.ts
@@ -24,7 +24,7 @@
   readonly onRead: (content: Uint8Array) => void;
 }
 
-/** Reads the configuration once at start, and watches it for changes while this is enabled. */
+/** Reads the configuration once at start, and watches it for changes while watching is enabled. */
 export class ConfigurationReader {
   private isClosed = false;
   private isWatching = false;
--- a/packages/platform/src/key-values/index.ts
+++ b/packages/platform/src/key-values/index.ts
@@ -9,6 +9,6 @@
   StoreOutcome,
   StoreTransport,
 } from './key-value-store.js';
-export { EraStatus, StoreEraTracker } from './store-era.js';
+export { EraStatus, StoreEraTracker } from './store-era-tracker.js';
 export { StoreSession } from './store-session.js';
 export type { StoreSessionOptions } from './store-session.js';
--- a/packages/platform/src/key-values/key-value-store.ts
+++ b/packages/platform/src/key-values/key-value-store.ts
@@ -48,7 +48,7 @@
   readonly eraHeader: string;
   /** Returns `undefined` if the value is invalid. */
   parseEra(value: string): number | undefined;
-  /** `isStaleAllowed` permits a result that is seconds old, at a tenth of the price. */
+  /** `isStaleAllowed` permits a result that is seconds old, at a tenth of the price of an up-to-date one. */
   list(prefix: string, after: string | undefined, isStaleAllowed: boolean): StoreCall<ItemPage>;
   watch(prefix: string, revision: number, waitMilliseconds: number): StoreCall<ItemPage>;
   write(key: string, value: Uint8Array): StoreCall<undefined>;
--- a/packages/platform/src/key-values/store-client.ts
+++ b/packages/platform/src/key-values/store-client.ts
@@ -6,7 +6,7 @@
   StoreOutcome,
   StoreTransport,
 } from './key-value-store.js';
-import { EraStatus, StoreEraTracker } from './store-era.js';
+import { EraStatus, StoreEraTracker } from './store-era-tracker.js';
 
 /** The outcome of a call; `outdated` is a response from a copy of the store that has been replaced. */
 export type StoreClientOutcome<Value> = StoreOutcome<Value> | { readonly kind: 'outdated' };
--- a/packages/platform/src/key-values/store-era.ts
+++ b/packages/platform/src/key-values/store-era-tracker.ts
@@ -1,6 +1,7 @@
 /**
- * Time for which the store has to report only lower eras before a lower era is accepted as a restarted count.
- * Stale reads lag by seconds, so the responses of an earlier copy have ceased by then.
+ * Time for which the store has to report only lower eras before a lower era is accepted, on the assumption that the
+ * store has restarted its numbering of eras. A stale read can still return the era of a replaced copy, but such reads
+ * lag by seconds only, so none is expected after this time.
  */
 const lowerEraAcceptedAfterMilliseconds = 10_000;
 
--- a/packages/platform/src/key-values/store-session.ts
+++ b/packages/platform/src/key-values/store-session.ts
@@ -1,4 +1,4 @@
-import { ConfigurationReader } from './configuration-reading.js';
+import { ConfigurationReader } from './configuration-reader.js';
 import type { ItemPage, StoreCallCodec, StoredItem, StoreTransport } from './key-value-store.js';
 import { CancellableDelays } from './cancellable-delays.js';
 import { RecentRemovals } from './recent-removals.js';
--- a/packages/platform/src/platform-store.ts
+++ b/packages/platform/src/platform-store.ts
@@ -173,7 +173,7 @@
     const existing = this.watches.get(key);
     if (existing !== undefined) return existing;
     this.callCounts.watches += 1;
-    const interval =
+    const readIntervalMilliseconds =
       this.options.watchReadIntervalMilliseconds ?? defaultWatchReadIntervalMilliseconds;
     const watch: KeyWatch = new KeyWatch(
       this.client,
@@ -181,7 +181,7 @@
       (readKey, onResult) => {
         this.read(readKey, onResult);
       },
-      interval,
+      readIntervalMilliseconds,
       (wasConfirmedOrClosed) => {
         // During an outage a watch may be the only call, so it has to report the outage as well.
         if (!wasConfirmedOrClosed) this.recordCallResult(false, 0);
--- a/packages/platform/tests/store-session.test.ts
+++ b/packages/platform/tests/store-session.test.ts
@@ -13,7 +13,7 @@
 
 type FakeResponse = StoreOutcome<unknown> | 'silent';
 
-/** A store that responds by the name of the call and that the test can change. */
+/** A store whose response depends on the name of the call, and whose content and faults are set by the test. */
 class FakeStore implements StoreTransport {
   public readonly calls: string[] = [];
   public revision = 1;
@@ -21,7 +21,7 @@
   /** The stored entry of the node; `undefined` if it is missing. */
   public entry: string | undefined;
   public outageResponse: FakeResponse | undefined;
-  /** Number of further watches that are answered with `compacted`. */
+  /** Number of further watches answered with `compacted`: the store no longer has the changes since their revision. */
   public compactedWatches = 0;
   private readonly pendingWatches = new Set<() => void>();
 
--- a/packages/upstreams/src/mesh/server-client.ts
+++ b/packages/upstreams/src/mesh/server-client.ts
@@ -12,7 +12,7 @@
 
 import { ResponseCollector } from '../response-collector.js';
 import type { CollectedResponse } from '../response-collector.js';
-import { ResponseMemoryLimiter } from './answer-memory.js';
+import { ResponseMemoryLimiter } from './response-memory-limiter.js';
 import { ServerAgent } from './server-agent.js';
 
 /** Limit for a whole health check, including the response body. */
--- a/packages/upstreams/src/upstream-poll.ts
+++ b/packages/upstreams/src/upstream-poll.ts
@@ -66,12 +66,12 @@
     abortController.abort();
   }, pollTimeoutMilliseconds);
   try {
-    const health = await fetchText(connections, '/health', abortController.signal);
-    const load =
-      health === undefined
+    const healthResponse = await fetchText(connections, '/health', abortController.signal);
+    const loadResponse =
+      healthResponse === undefined
         ? undefined
         : await fetchText(connections, '/load', abortController.signal);
-    return { healthy: health?.status === 200, inFlight: parseInFlight(load) };
+    return { healthy: healthResponse?.status === 200, inFlight: parseInFlight(loadResponse) };
   } finally {
     clearTimeout(timer);
   }
--- a/packages/upstreams/tests/answer-memory.test.ts
+++ b/packages/upstreams/tests/response-memory-limiter.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import { ResponseMemoryLimiter } from '../src/mesh/answer-memory.js';
+import { ResponseMemoryLimiter } from '../src/mesh/response-memory-limiter.js';
 
 class FakeResponse {
   public isAborted = false;
