--- a/packages/core/src/calls/call-contract.ts
+++ b/packages/core/src/calls/call-contract.ts
@@ -83,7 +83,7 @@
   /** The connection to a server was lost; every attempt there may have run. */
   onPeerLost(server: string, now: ClockReading): readonly CallCommand[];
   /** The caller disconnected. */
-  abandon(callNumber: number, now: ClockReading): readonly CallCommand[];
+  onCallerDisconnected(callNumber: number, now: ClockReading): readonly CallCommand[];
   tick(now: ClockReading): readonly CallCommand[];
   retryBudgets(): readonly RetryBudgetUse[];
   readonly callsInProgress: number;
--- a/packages/core/src/calls/call-engine.ts
+++ b/packages/core/src/calls/call-engine.ts
@@ -151,7 +151,7 @@
     return commands;
   }
 
-  public abandon(callNumber: number, now: ClockReading): readonly CallCommand[] {
+  public onCallerDisconnected(callNumber: number, now: ClockReading): readonly CallCommand[] {
     const state = this.calls.get(callNumber);
     if (state === undefined) return [];
     const commands: CallCommand[] = [];
--- a/packages/core/src/calls/service-budgets.ts
+++ b/packages/core/src/calls/service-budgets.ts
@@ -28,7 +28,7 @@
     }));
   }
 
-  /** Returns the budget of a service; a service that is not configured gets the default budget. */
+  /** Returns the budget of a service. Creates one with the defaults for a service not yet configured. */
   public getOrCreate(name: string): ServiceBudget {
     const known = this.services.get(name);
     if (known !== undefined) return known;
--- a/packages/core/src/configuration/configuration-distributor.ts
+++ b/packages/core/src/configuration/configuration-distributor.ts
@@ -60,7 +60,10 @@
     }
   }
 
-  /** Answers a pull; a pull that exceeds the limit on whole configurations is only counted. */
+  /**
+   * Answers a pull. If that takes a whole configuration and the limit on those is exceeded, the pull is
+   * not answered and only a metric is incremented.
+   */
   public handlePull(from: string, knownRevision: number, now: ClockReading): void {
     if (knownRevision >= this.history.current.revision) return;
     const push = this.history.createPush(knownRevision);
--- a/packages/core/src/configuration/configuration-writer.ts
+++ b/packages/core/src/configuration/configuration-writer.ts
@@ -48,7 +48,9 @@
   readonly isStopped: () => boolean;
   /** Called if the change can't be written; nothing has taken effect. */
   readonly onRejected: (reason: string) => void;
-  /** Called if the root refers to a page that was deleted, so that a newer root must exist. */
+  /**
+   * Called if the root record refers to a page that was deleted, so that a newer root record must exist.
+   */
   readonly onStaleRoot: (now: ClockReading) => void;
 }
 
@@ -58,7 +60,8 @@
 }
 
 /**
- * Writes the records that a new root will refer to. They take effect only when the root is written.
+ * Writes the records that a new root record will refer to. They take effect only when the root record is
+ * written.
  */
 export class ConfigurationWriter {
   private readonly backOff: BackOff;
--- a/packages/core/src/entry/key-lookup.ts
+++ b/packages/core/src/entry/key-lookup.ts
@@ -29,48 +29,48 @@
     question: Pick<PendingLookup, 'key' | 'questionId' | 'service'>,
     now: ClockReading,
   ): KeyLookupCommand[] {
-    const inquiry: PendingLookup = {
+    const lookup: PendingLookup = {
       ...question,
       callId: this.options.nextCallId(),
       expiresAt: now.monotonic + answerTimeoutMilliseconds,
       home: undefined,
     };
-    this.pendingLookups.set(inquiry.callId, inquiry);
-    return this.ask(inquiry);
+    this.pendingLookups.set(lookup.callId, lookup);
+    return this.ask(lookup);
   }
 
   public onAnswer(from: string, { callId, state, status }: KeyAnswerFrame): KeyLookupCommand[] {
-    const inquiry = this.pendingLookups.get(callId);
-    if (inquiry?.home !== from) {
+    const lookup = this.pendingLookups.get(callId);
+    if (lookup?.home !== from) {
       return [];
     }
-    return this.conclude(inquiry, state, status);
+    return this.conclude(lookup, state, status);
   }
 
-  public get inProgress(): number {
+  public get pendingCount(): number {
     return this.pendingLookups.size;
   }
 
   /** Retries lookups that lacked a home table, and concludes lookups whose time-out has passed. */
   public tick(now: ClockReading): KeyLookupCommand[] {
     const commands: KeyLookupCommand[] = [];
-    for (const inquiry of [...this.pendingLookups.values()]) {
-      if (now.monotonic >= inquiry.expiresAt) {
-        commands.push(...this.conclude(inquiry, undefined, undefined));
-      } else if (inquiry.home === undefined) {
-        commands.push(...this.ask(inquiry));
+    for (const lookup of [...this.pendingLookups.values()]) {
+      if (now.monotonic >= lookup.expiresAt) {
+        commands.push(...this.conclude(lookup, undefined, undefined));
+      } else if (lookup.home === undefined) {
+        commands.push(...this.ask(lookup));
       }
     }
     return commands;
   }
 
-  private ask(inquiry: PendingLookup): KeyLookupCommand[] {
-    const { callId, key, service } = inquiry;
+  private ask(lookup: PendingLookup): KeyLookupCommand[] {
+    const { callId, key, service } = lookup;
     const home = this.options.table(service)?.ranges[this.options.rangeOf(key)];
     if (home === undefined) {
       return [{ kind: 'need-table', service }];
     }
-    inquiry.home = home.server;
+    lookup.home = home.server;
     return [
       { frame: { callId, key, kind: 'key-question', service }, kind: 'ask', to: home.server },
     ];
--- a/packages/core/src/gate/gate-settings.ts
+++ b/packages/core/src/gate/gate-settings.ts
@@ -8,15 +8,15 @@
   readonly queuePerSlot: number;
   /** Share of the slots that is open when slow start begins, 0 to 1. */
   readonly rampStartShare: number;
-  /** Answers per slot that complete slow start without any time passing. */
+  /** Number of answers per slot after which slow start is complete, however little time has passed. */
   readonly rampAnswersPerSlot: number;
   /** Weight of the newest sample in the smoothed latencies, 0 to 1. */
   readonly latencySmoothing: number;
-  /** Window of the minimum service time, in answers. */
+  /** Length of a window of the shortest service time, in answers. */
   readonly shortestServiceTimeSamples: number;
   /**
-   * Upper bound of the latency recorded for a failure, so that a caller's long deadline does not set
-   * it.
+   * Upper bound of the time to the deadline that is recorded as the latency of a failure. Without it, a
+   * failed request with a long deadline would be recorded with that whole time.
    */
   readonly failureLatencyMilliseconds: number;
   /** Consecutive refused connections after which the upstream counts as down. */
@@ -27,7 +27,7 @@
   readonly recentAnswerMilliseconds: number;
   /** Time for which a polled load is valid. */
   readonly polledLoadValidMilliseconds: number;
-  /** Maximum share of the slots that a polled load can withhold, 0 to 1. */
+  /** Maximum share of the slots that the gate leaves unused because of a polled load, 0 to 1. */
   readonly polledLoadMaximumShare: number;
   readonly minimumRetryAfterMilliseconds: number;
   readonly maximumRetryAfterMilliseconds: number;
@@ -38,7 +38,7 @@
 
 /**
  * Defaults of {@link GateSettings}.
- * A polled load withholds at most half of the slots, so that a wrong load endpoint can't take an
+ * A polled load makes the gate leave at most half of the slots unused, so that a wrong load endpoint can't take an
  * upstream out of service. Real load from elsewhere also shows in the latency.
  */
 export const defaultGateSettings: GateSettings = {
--- a/packages/core/src/gate/service-time-estimate.ts
+++ b/packages/core/src/gate/service-time-estimate.ts
@@ -8,7 +8,7 @@
 
   /**
    * @param smoothing - Weight of the newest sample in the means, 0 to 1.
-   * @param shortestWindowSamples - Window of the minimum, in answers.
+   * @param shortestWindowSamples - Length of a window of {@link shortestMilliseconds}, in answers.
    */
   public constructor(
     private readonly smoothing: number,
@@ -21,15 +21,19 @@
   }
 
   /**
-   * Minimum over the last one to two windows; a request with less time left is not expected to
-   * finish.
+   * Shortest service time among the answers of two windows, the current and the previous one, each
+   * `shortestWindowSamples` answers long; 0 while there is none. A request with less time left is not
+   * expected to finish.
    */
   public get shortestMilliseconds(): number {
     const shortest = Math.min(this.currentShortest, this.previousShortest);
     return shortest === Number.POSITIVE_INFINITY ? 0 : shortest;
   }
 
-  /** Exponentially weighted mean for load reports, in which failures count as the worst latency. */
+  /**
+   * Exponentially weighted mean for load reports. It includes failures, each with the latency passed to
+   * {@link onFailed}.
+   */
   public get reportedMilliseconds(): number {
     return this.reportedMean ?? 0;
   }
@@ -45,7 +49,10 @@
     this.currentShortest = Number.POSITIVE_INFINITY;
   }
 
-  /** Records a failure as the worst latency, so that fast failures don't appear as short latencies. */
+  /**
+   * Records a failure in the mean for load reports, with the time that the caller would have waited at
+   * worst instead of the elapsed time, so that fast failures don't appear as short latencies.
+   */
   public onFailed(worstMilliseconds: number): void {
     this.reportedMean = this.smoothed(this.reportedMean, worstMilliseconds);
   }
--- a/packages/core/src/gate/upstream-capacity.ts
+++ b/packages/core/src/gate/upstream-capacity.ts
@@ -9,8 +9,9 @@
 import { UpstreamHealth } from './upstream-health.js';
 
 /**
- * An upstream that was idle for this long may have recovered since its last results. If it kept
- * reporting their latency, entries would avoid it and never find out. Ejected servers get a trial at
+ * An upstream that was idle for this long may have recovered since its last results. If its gate
+ * kept reporting their latency, entries would keep avoiding it and never learn that it has recovered.
+ * Ejected servers get a trial at
  * the same interval.
  */
 const reportedLatencyValidMilliseconds = 10_000;
@@ -153,7 +154,7 @@
 
   /**
    * Time since the last start or end of a request if all slots are taken, else 0. A frozen upstream
-   * yields no latency samples, so this time stands for them.
+   * yields no latency samples, so this time is used as its latency.
    */
   private stalledMilliseconds(now: number): number {
     return this.runningCount >= this.limit(now) ? now - this.lastProgressAt : 0;
@@ -180,7 +181,10 @@
     }
   }
 
-  /** Latency recorded for a failure: the time that the caller would have waited, within a bound. */
+  /**
+   * Latency recorded for a failure: the time from the start to the deadline, but at most
+   * `failureLatencyMilliseconds`; the elapsed time if that is longer.
+   */
   private worstLatency(request: EndedRequest, elapsed: number): number {
     const timeAllowed = request.deadline - request.startedAt;
     return Math.max(elapsed, Math.min(timeAllowed, this.settings.failureLatencyMilliseconds));
--- a/packages/core/src/homes/hand-over.ts
+++ b/packages/core/src/homes/hand-over.ts
@@ -64,7 +64,7 @@
   public targets(): ReadonlyMap<number, RangeTarget> {
     return new Map(
       [...this.newHomes].map(([localRange, home]) => [
-        localRange.range,
+        localRange.rangeNumber,
         { home, transfer: localRange.isActivated ? this.transfer : undefined },
       ]),
     );
@@ -73,7 +73,7 @@
   /** Whether this table assigns all ranges of the hand-over to their new homes. */
   public isCompletedBy(table: HomeTable): boolean {
     return [...this.newHomes].every(([localRange, home]) => {
-      const assignment = table.ranges[localRange.range];
+      const assignment = table.ranges[localRange.rangeNumber];
       return assignment?.server === home.server && assignment.since > localRange.since;
     });
   }
@@ -143,13 +143,13 @@
           kind: 'records-transfer',
           last: part === parts.length - 1,
           part,
-          range: localRange.range,
+          range: localRange.rangeNumber,
           records: partRecords,
           service,
           transfer: this.transfer,
           voidUntil: localRange.bounds.voidUntil,
         };
-        const id = partId(localRange.range, part);
+        const id = partId(localRange.rangeNumber, part);
         this.unacknowledged.set(id, { frame, dueAt: monotonic, to: home.server });
       }
     }
--- a/packages/core/src/homes/home-contract.ts
+++ b/packages/core/src/homes/home-contract.ts
@@ -137,7 +137,10 @@
   tick(now: ClockReading): readonly HomeCommand[];
   /** Monotonic time at which the next tick is needed. */
   readonly nextTickAt: number;
-  /** The newest home table of a service known to this node; entries forward requests by it. */
+  /**
+   * The newest home table of a service known to this node. An entry looks up in it the home to which it
+   * forwards a keyed request.
+   */
   table(service: string): HomeTable | undefined;
   /** The number of the range that a key belongs to, 0 to 15. */
   rangeOf(key: string): number;
--- a/packages/core/src/homes/key-rules.ts
+++ b/packages/core/src/homes/key-rules.ts
@@ -1,15 +1,22 @@
 import { RefusalReason, UnknownReason } from '../messages/outcome.js';
 import type { HomeSettings } from './home-settings.js';
 
-/** Wall times that restrict which keys without a record may run in a range. */
+/** Wall times that restrict which keys without a record may run in a range; see {@link decideNewKey}. */
 export interface RangeTimeBounds {
-  /** Keys created at or before this time may have run at an earlier home whose records are lost. */
+  /**
+   * Keys created at or before this time may have run at an earlier home whose records are lost. They don't
+   * run; their outcome is unknown.
+   */
   readonly cutoff: number | undefined;
   /**
    * Attempts that their entry received at or before this time may belong to a key that was refused.
+   * They are refused.
    */
   readonly voidUntil: number | undefined;
-  /** Keys created at or before this time may have run here and had their record evicted. */
+  /**
+   * Keys created at or before this time may have run here and had their record evicted. They don't run;
+   * their outcome is unknown.
+   */
   readonly forgottenUntil?: number | undefined;
 }
 
--- a/packages/core/src/homes/local-range.ts
+++ b/packages/core/src/homes/local-range.ts
@@ -30,7 +30,8 @@
 
   public constructor(
     public readonly rangeId: string,
-    public readonly range: number,
+    /** Number of the range within its service. */
+    public readonly rangeNumber: number,
     assignment: HomeAssignment,
   ) {
     this.since = assignment.since;
--- a/packages/core/src/homes/request-queue-budget.ts
+++ b/packages/core/src/homes/request-queue-budget.ts
@@ -1,7 +1,7 @@
 import type { HomeSettings } from './home-settings.js';
 
 /**
- * Limits the number and total body size of the requests that are queued on this node for any range.
+ * Limits the number and total body size of the requests that are queued on this node, over all ranges.
  */
 export class RequestQueueBudget {
   private requests = 0;
--- a/packages/core/src/homes/service-homes.ts
+++ b/packages/core/src/homes/service-homes.ts
@@ -172,14 +172,20 @@
     } else if (localRange.since > 1) {
       localRange.bounds = takeoverBounds(now.wall, settings);
     }
+    // Cause of the activation, a label of the metric. `since` is the version of the home table since
+    // which this node has been the home; 1 is the first table of the service.
     const by =
       received !== undefined ? 'hand-over' : localRange.since > 1 ? 'takeover' : 'first-table';
     outbox.count('home_activations', { by });
-    outbox.log('home-range-activated', { by, range: localRange.range, service: this.service });
+    outbox.log('home-range-activated', {
+      by,
+      range: localRange.rangeNumber,
+      service: this.service,
+    });
   }
 
   private endRange(localRange: LocalRange): void {
-    this.localRanges.delete(localRange.range);
+    this.localRanges.delete(localRange.rangeNumber);
     this.parts.records.dropRange(localRange.rangeId);
     for (const queued of localRange.takeQueued()) {
       this.parts.queueBudget.release(queued.frame.body.length);
--- a/packages/core/src/homes/table-maintenance.ts
+++ b/packages/core/src/homes/table-maintenance.ts
@@ -148,7 +148,7 @@
     const { handOver } = this;
     if (handOver === undefined) return;
     const isCompleted = handOver.isCompletedBy(table);
-    const isStillHome = handOver.localRanges.every(({ range, since }) => {
+    const isStillHome = handOver.localRanges.every(({ rangeNumber: range, since }) => {
       const assignment = table.ranges[range];
       return namesThisIncarnation(assignment, this.parts.self) && assignment.since === since;
     });
@@ -221,7 +221,11 @@
       const home = tablePlan.leastLoaded(ranges, recipients);
       if (home === undefined) return;
       newHomes.set(localRange, home);
-      ranges[localRange.range] = { incarnation: home.incarnation, server: home.server, since: 0 };
+      ranges[localRange.rangeNumber] = {
+        incarnation: home.incarnation,
+        server: home.server,
+        since: 0,
+      };
     }
     const { self, settings } = this.parts;
     this.handOverCount += 1;
--- a/packages/core/src/homes/transfer-inbox.ts
+++ b/packages/core/src/homes/transfer-inbox.ts
@@ -4,7 +4,7 @@
 import type { KeyRecordStore } from './key-record-store.js';
 import { rangeIdOf } from './local-range.js';
 
-/** The key records of one range, as sent by its earlier home. */
+/** The key records of one range and the time bounds of its new keys, as sent by its earlier home. */
 export interface ReceivedTransfer {
   readonly bounds: RangeTimeBounds;
   readonly records: readonly KeyRecord[];
--- a/packages/core/src/homes/witness.ts
+++ b/packages/core/src/homes/witness.ts
@@ -4,7 +4,7 @@
 import { takesRangeFrom } from './table-view.js';
 
 interface WitnessedService {
-  /** The newest accepted table; undefined until one is accepted. */
+  /** The newest home table that this witness has accepted; undefined until it accepts one. */
   accepted: HomeTable | undefined;
   /** Version of the table in the store when it was first read; no older table is accepted. */
   storedVersion: number | undefined;
--- a/packages/core/src/membership/membership-contract.ts
+++ b/packages/core/src/membership/membership-contract.ts
@@ -63,6 +63,9 @@
   readonly nextTickAt: number;
   members(): readonly MemberRecord[];
   member(server: string): MemberRecord | undefined;
-  /** Whether this node is one of the bridge nodes of its availability zone. */
+  /**
+   * Whether this node is one of the bridge nodes of its availability zone, which exchange member updates
+   * with other zones and detect whether those are reachable.
+   */
   readonly isBridge: boolean;
 }
--- a/packages/core/src/membership/seed-discovery.ts
+++ b/packages/core/src/membership/seed-discovery.ts
@@ -46,6 +46,7 @@
   private readonly seedBackOff: BackOff;
   private readonly zoneBackOff: BackOff;
   private writtenSeeds = '';
+  /** Encoded text of the seeds that the store should hold. */
   private desiredSeeds = '';
   private desiredSince = 0;
   private isUpdatingSeeds = false;
@@ -115,24 +116,24 @@
       .map(({ record }) => {
         return { server: record.server, address: record.peerAddress };
       });
-    const text = encodeSeeds(seeds);
-    if (text === this.desiredSeeds) return;
-    this.desiredSeeds = text;
+    const encodedSeeds = encodeSeeds(seeds);
+    if (encodedSeeds === this.desiredSeeds) return;
+    this.desiredSeeds = encodedSeeds;
     this.desiredSince = now.monotonic;
   }
 
   private updateStoredSeeds(now: ClockReading): void {
-    const text = this.desiredSeeds;
+    const encodedSeeds = this.desiredSeeds;
     const key = seedsKey(this.context.ownZone().name);
     this.storeRequests.start({ kind: 'read', key }, now, (result, completedAt) => {
-      if (result.kind === 'found' && result.entry.value === text) {
-        this.finishWrite(text);
+      if (result.kind === 'found' && result.entry.value === encodedSeeds) {
+        this.finishWrite(encodedSeeds);
       } else if (result.kind === 'found') {
         // Unknown seeds may belong to a separate partition of the same zone.
         this.contactUnknownSeeds(decodeSeeds(result.entry.value));
-        this.writeSeeds(text, result.entry.version, completedAt);
+        this.writeSeeds(encodedSeeds, result.entry.version, completedAt);
       } else if (result.kind === 'missing') {
-        this.writeSeeds(text, 0, completedAt);
+        this.writeSeeds(encodedSeeds, 0, completedAt);
       } else {
         this.allowRetryLater(completedAt);
       }
@@ -154,8 +155,8 @@
     });
   }
 
-  private finishWrite(text: string): void {
-    this.writtenSeeds = text;
+  private finishWrite(encodedSeeds: string): void {
+    this.writtenSeeds = encodedSeeds;
     this.isUpdatingSeeds = false;
     this.seedBackOff.reset();
   }
@@ -185,8 +186,9 @@
       const areOtherZonesKnown = missing.length === 0 && zones.length > 1;
       if (!areOtherZonesKnown) return;
       this.zoneBackOff.reset();
-      const jitter = 0.75 + 0.5 * this.context.random.next();
-      this.nextZoneReadAt = completedAt.monotonic + steadyZoneReadIntervalMilliseconds * jitter;
+      const jitterFactor = 0.75 + 0.5 * this.context.random.next();
+      this.nextZoneReadAt =
+        completedAt.monotonic + steadyZoneReadIntervalMilliseconds * jitterFactor;
     });
   }
 
--- a/packages/core/src/membership/zone-bridge.ts
+++ b/packages/core/src/membership/zone-bridge.ts
@@ -13,12 +13,12 @@
  * Zones pinged in every round, in addition to the rotation, because their last ping was not
  * acknowledged. This goes on until they respond or are declared unreachable.
  */
-const unresponsiveZonesPerRound = 4;
+const unacknowledgedZonesPerRound = 4;
 /**
  * Consecutive unacknowledged pings, from the second on to random members, after which a zone counts as
  * unreachable.
  */
-const unansweredPingsUntilUnreachable = 4;
+const unacknowledgedPingsUntilUnreachable = 4;
 /** Updates of the own zone kept for sending to other zones; anti-entropy transfers older ones. */
 const updateLogCapacity = 1_024;
 /** Rate limit of urgent updates that are sent to all zones at once: refill per second and burst. */
@@ -30,7 +30,7 @@
   logPosition: number;
   lastResponseAt: number;
   pingedAt: number | undefined;
-  unansweredPings: number;
+  unacknowledgedPings: number;
 }
 
 /** On a bridge node: exchanges updates with other zones and detects whether they are reachable. */
@@ -78,7 +78,7 @@
     const link = this.zoneLinks.get(zone.name);
     if (link === undefined) return;
     link.lastResponseAt = now.monotonic;
-    link.unansweredPings = 0;
+    link.unacknowledgedPings = 0;
     if (!this.context.table.isReachable(zone)) this.onReachabilityChanged(zone, true, now);
   }
 
@@ -95,7 +95,7 @@
   public onPaused(): void {
     for (const link of this.zoneLinks.values()) {
       link.pingedAt = undefined;
-      link.unansweredPings = 0;
+      link.unacknowledgedPings = 0;
     }
   }
 
@@ -110,13 +110,14 @@
     if (now.monotonic < this.nextRoundAt) return;
     this.nextRoundAt = now.monotonic + roundMilliseconds;
     const zones = this.otherZones();
-    const unresponsive: ZoneMembers[] = [];
+    const unacknowledged: ZoneMembers[] = [];
     for (const zone of zones) {
       const link = this.getOrCreateLink(zone, now);
       this.checkResponse(zone, link, now);
-      if (this.context.table.isReachable(zone) && link.unansweredPings > 0) unresponsive.push(zone);
+      if (this.context.table.isReachable(zone) && link.unacknowledgedPings > 0)
+        unacknowledged.push(zone);
     }
-    const targets = new Set(unresponsive.slice(0, unresponsiveZonesPerRound));
+    const targets = new Set(unacknowledged.slice(0, unacknowledgedZonesPerRound));
     for (const zone of this.nextInRotation(zones)) {
       targets.add(zone);
     }
@@ -140,7 +141,7 @@
       logPosition,
       lastResponseAt: now.monotonic,
       pingedAt: undefined,
-      unansweredPings: 0,
+      unacknowledgedPings: 0,
     };
     this.zoneLinks.set(zone.name, link);
     // The log has no updates from before this node became a bridge and knew the zone.
@@ -151,14 +152,14 @@
 
   private checkResponse(zone: ZoneMembers, link: ZoneLink, now: ClockReading): void {
     if (link.pingedAt === undefined) return;
-    if (link.lastResponseAt < link.pingedAt) link.unansweredPings += 1;
+    if (link.lastResponseAt < link.pingedAt) link.unacknowledgedPings += 1;
     link.pingedAt = undefined;
     if (
-      link.unansweredPings < unansweredPingsUntilUnreachable ||
+      link.unacknowledgedPings < unacknowledgedPingsUntilUnreachable ||
       !this.context.table.isReachable(zone)
     )
       return;
-    link.unansweredPings = 0;
+    link.unacknowledgedPings = 0;
     this.onReachabilityChanged(zone, false, now);
   }
 
@@ -175,7 +176,7 @@
 
   private ping(zone: ZoneMembers, link: ZoneLink, now: ClockReading): void {
     // The bridges of an unresponsive zone may be gone; any member can prove that the zone is reachable.
-    const isUnresponsive = link.unansweredPings > 0 || !this.context.table.isReachable(zone);
+    const isUnresponsive = link.unacknowledgedPings > 0 || !this.context.table.isReachable(zone);
     const target = isUnresponsive
       ? this.context.table.pickLive(zone, this.context.random, () => true)
       : this.pickBridge(zone);
--- a/packages/core/src/membership/zone-reachability-tracker.ts
+++ b/packages/core/src/membership/zone-reachability-tracker.ts
@@ -34,7 +34,10 @@
     this.apply({ unreachable, at: Math.max(now.wall, this.current.at + 1) }, bridge, now);
   }
 
-  /** Applies a reachability that is newer than the current one and forwards it once. */
+  /**
+   * Applies a list of unreachable zones that is newer than the current one, and forwards it once. Ignores
+   * one that is older or already known.
+   */
   public apply(reachability: ZoneReachability, bridge: ZoneBridge, now: ClockReading): void {
     if (reachability.at <= this.current.at) return;
     const { table } = this.context;
--- a/packages/core/src/messages/header-fields.ts
+++ b/packages/core/src/messages/header-fields.ts
@@ -40,7 +40,8 @@
 
 /** Parses the value of a `Connection` field: the names of further hop-by-hop fields, in lower case. */
 export function parseConnectionOptions(value: string): ReadonlySet<string> {
-  // Fast path: nearly every message has one of these two values, and neither names a field to forward.
+  // Fast path: nearly every message has one of these two values, and neither names a further
+  // hop-by-hop field.
   if (value === 'keep-alive' || value === 'close') return noOptions;
   return new Set(value.split(',').map((option) => option.trim().toLowerCase()));
 }
--- a/packages/core/src/messages/home-frames.ts
+++ b/packages/core/src/messages/home-frames.ts
@@ -46,7 +46,7 @@
   readonly kind: 'home-lease-answer';
   readonly service: string;
   readonly round: number;
-  /** The queried homes whose lease promise by this witness is still valid. */
+  /** The queried homes to which this witness is still bound by an unexpired lease promise. */
   readonly bound: readonly string[];
 }
 
--- a/packages/core/src/node/call-coordinator.ts
+++ b/packages/core/src/node/call-coordinator.ts
@@ -62,6 +62,7 @@
   ) => void;
   readonly cancelLocally: (callId: number, now: ClockReading) => void;
   readonly localResponseStream: (callId: number) => BodyEndpoint | undefined;
+  /** Reports the outcome of a call that a home dispatched, when the call ends. */
   readonly onHomeDispatchConcluded: (
     dispatchId: number,
     outcome: CallOutcome,
@@ -166,18 +167,18 @@
     const callNumber = this.callNumberByRequest.get(requestNumber);
     if (callNumber !== undefined) {
       this.journalCallerDisconnected(callNumber);
-      this.apply(this.options.engine.abandon(callNumber, now), now);
+      this.apply(this.options.engine.onCallerDisconnected(callNumber, now), now);
       this.removeCall(callNumber);
       return;
     }
-    const stream = this.responder.endStream(requestNumber);
+    const stream = this.responder.removeStream(requestNumber);
     if (stream !== undefined) {
       this.cancelAtServer(stream.server, stream.callId, now);
     }
   }
 
   public onStreamFinished(requestNumber: number): void {
-    this.responder.endStream(requestNumber);
+    this.responder.removeStream(requestNumber);
   }
 
   public tick(now: ClockReading): void {
--- a/packages/core/src/node/caller-responder.ts
+++ b/packages/core/src/node/caller-responder.ts
@@ -54,7 +54,7 @@
   }
 
   /** Stops tracking the stream to a caller and returns its source. */
-  public endStream(requestNumber: number): ResponseStream | undefined {
+  public removeStream(requestNumber: number): ResponseStream | undefined {
     const stream = this.streams.get(requestNumber);
     this.streams.delete(requestNumber);
     return stream;
--- a/packages/core/src/node/keyed-request-coordinator.ts
+++ b/packages/core/src/node/keyed-request-coordinator.ts
@@ -40,7 +40,7 @@
  */
 export class KeyedRequestCoordinator {
   private readonly forwarder: KeyedForwarder;
-  private readonly inquiry: KeyLookup;
+  private readonly keyLookup: KeyLookup;
   private readonly tableRequestedAt = new Map<string, number>();
 
   public constructor(private readonly options: KeyedRequestCoordinatorOptions) {
@@ -51,7 +51,7 @@
       table: (service: string) => homes.table(service),
     };
     this.forwarder = new KeyedForwarder(lookup);
-    this.inquiry = new KeyLookup(lookup);
+    this.keyLookup = new KeyLookup(lookup);
   }
 
   public get inProgress(): number {
@@ -60,7 +60,7 @@
 
   /** Whether keyed requests or operators' key state queries are waiting for a result. */
   public get hasWork(): boolean {
-    return this.forwarder.inProgress + this.inquiry.inProgress > 0;
+    return this.forwarder.inProgress + this.keyLookup.pendingCount > 0;
   }
 
   public begin(request: KeyedRequest, now: ClockReading): void {
@@ -72,7 +72,7 @@
     { key, questionId, service }: KeyStateQueryMessage,
     now: ClockReading,
   ): void {
-    this.applyInquiryCommands(this.inquiry.begin({ key, questionId, service }, now), now);
+    this.applyKeyLookupCommands(this.keyLookup.begin({ key, questionId, service }, now), now);
   }
 
   public onCallerDisconnected(requestNumber: number): void {
@@ -93,7 +93,7 @@
         this.handleOutcome(from, frame.callId, frame.outcome, now);
         return;
       case 'key-answer':
-        this.applyInquiryCommands(this.inquiry.onAnswer(from, frame), now);
+        this.applyKeyLookupCommands(this.keyLookup.onAnswer(from, frame), now);
     }
   }
 
@@ -153,7 +153,7 @@
   public tick(now: ClockReading): void {
     this.applyHomeCommands(this.options.homes.tick(now), now);
     this.applyForwarderCommands(this.forwarder.tick(now), now);
-    this.applyInquiryCommands(this.inquiry.tick(now), now);
+    this.applyKeyLookupCommands(this.keyLookup.tick(now), now);
     for (const service of this.forwarder.waitingServices()) {
       this.applyForwarderCommands(this.forwarder.onTableChanged(service, now), now);
     }
@@ -197,7 +197,7 @@
     }
   }
 
-  private applyInquiryCommands(commands: readonly KeyLookupCommand[], now: ClockReading): void {
+  private applyKeyLookupCommands(commands: readonly KeyLookupCommand[], now: ClockReading): void {
     for (const command of commands) {
       switch (command.kind) {
         case 'ask':
@@ -295,7 +295,7 @@
     if (to !== this.options.self) {
       this.options.outbox.reply(to, frame);
     } else if (frame.kind === 'key-answer') {
-      this.applyInquiryCommands(this.inquiry.onAnswer(to, frame), now);
+      this.applyKeyLookupCommands(this.keyLookup.onAnswer(to, frame), now);
     } else {
       // This node is also a witness for its own home, so the frame is handled locally.
       this.handleHomeFrame(to, frame, now);
--- a/packages/core/src/node/node-components.ts
+++ b/packages/core/src/node/node-components.ts
@@ -71,6 +71,7 @@
     onHomeDispatchConcluded: (dispatchId, outcome, answer, now) => {
       components().keyedRequests.onDispatchConcluded(dispatchId, outcome, answer, now);
     },
+    // For an outcome that arrives after the dispatch had already been concluded without it.
     onHomeDispatchSettled: (dispatchId, outcome, answer, now) => {
       components().keyedRequests.onDispatchSettled(dispatchId, outcome, answer, now);
     },
--- a/packages/core/src/routing/service-targets.ts
+++ b/packages/core/src/routing/service-targets.ts
@@ -79,7 +79,7 @@
     return this.members.has(state);
   }
 
-  /** Puts a target into the pools that fit its standing. */
+  /** Puts a target into the pools for its status, kind of ejection and location. */
   public assignPool(state: TargetState): void {
     this.removeFromPools(state);
     this.members.add(state);
@@ -105,8 +105,8 @@
   /**
    * Median of the average latencies of the open targets, from a bounded sample and updated at most every
    * 250 ms. While no target is open, the median of the ejected slow targets is used. If it stayed at the
-   * last median of open targets, which may come from a single fast answer, every trial could count as
-   * slow and no target would ever be restored.
+   * last median of open targets, which may come from a single fast answer, every trial request to an
+   * ejected target could count as slow and no target would ever be restored.
    */
   public medianLatency(now: number): number | undefined {
     if (now - this.medianAt < medianIntervalMilliseconds) return this.median;
--- a/packages/core/src/routing/target-state.ts
+++ b/packages/core/src/routing/target-state.ts
@@ -1,7 +1,10 @@
 import type { LoadReport } from '../messages/load-report.js';
 import type { Target } from './router-contract.js';
 
-/** Whether a target is regularly chosen; draining and ejected targets are not. */
+/**
+ * Whether a target is regularly chosen. `open` targets are; `draining` ones are not, and neither are
+ * `shunned` ones, which outlier ejection has ejected.
+ */
 export const TargetStatus = {
   Draining: 'draining',
   Open: 'open',
--- a/packages/core/tests/calls/call-engine.property.test.ts
+++ b/packages/core/tests/calls/call-engine.property.test.ts
@@ -125,7 +125,7 @@
     observer.onCommands(engine.tick(at(now)));
   }
   plans.forEach((plan, index) => {
-    if (plan.isAbandoned) observer.onCommands(engine.abandon(index, at(now)));
+    if (plan.isAbandoned) observer.onCommands(engine.onCallerDisconnected(index, at(now)));
   });
   observer.onCommands(engine.tick(at(Math.max(now, deadline))));
   assert.is(engine.callsInProgress, 0);
--- a/packages/core/tests/calls/setup.ts
+++ b/packages/core/tests/calls/setup.ts
@@ -84,7 +84,7 @@
       case 'admitted':
         return engine.onAdmitted(attempt);
       case 'abandon':
-        return engine.abandon(1, at(this.now));
+        return engine.onCallerDisconnected(1, at(this.now));
       case 'deadline':
         return engine.tick(at(deadline));
       default:
--- a/packages/core/tests/homes/home-keeper.test.ts
+++ b/packages/core/tests/homes/home-keeper.test.ts
@@ -228,9 +228,9 @@
 // for the rest of the day.
 test('a full key store evicts its oldest keys, which never run again', () => {
   const home = new SingleHome({ maximumRecords: 2, minimumRetentionMilliseconds: 10_000 });
-  const opaque = 'no-creation-time';
-  for (const ofKey of [key, opaque]) {
-    home.request(ofKey);
+  const keyWithoutCreationTime = 'no-creation-time';
+  for (const requestedKey of [key, keyWithoutCreationTime]) {
+    home.request(requestedKey);
     home.finishAttempt('answered');
   }
   const createFreshKey = (): string => keyCreatedAt(epoch + home.elapsed, 3);
@@ -243,7 +243,7 @@
   assert.is(home.usage.evicted, 1);
   assert.is(home.records, 2);
   assert.is(reasonOf(home.request(key)), 'key-too-old');
-  assert.is(reasonOf(home.request(opaque)), 'recorded');
+  assert.is(reasonOf(home.request(keyWithoutCreationTime)), 'recorded');
   assert.is(reasonOf(home.request(late)), 'recorded');
 });
 
--- a/packages/core/tests/homes/shared/home-network.ts
+++ b/packages/core/tests/homes/shared/home-network.ts
@@ -23,7 +23,9 @@
 /** Wall time at virtual time 0. */
 export const epoch = 1_800_000_000_000;
 const tickMilliseconds = 20;
+/** Time from a fault of a node until the other nodes detect it. */
 const detectionMilliseconds = 4_000;
+/** Time after which an entry gives up an attempt. */
 const entryTimeoutMilliseconds = 2_500;
 /** How long a stopping node continues after its hand-over, to finish its calls as an entry. */
 const exitMilliseconds = 500;
@@ -196,7 +198,7 @@
     });
   }
 
-  /** Cuts a node off from the other nodes, but not from the store. */
+  /** Cuts the node named `server` off from the other nodes, but not from the store. */
   public cutOff(server: string, milliseconds: number): void {
     const node = this.node(server);
     const { generation } = node;
