--- a/packages/core/src/membership/failure-detector.ts
+++ b/packages/core/src/membership/failure-detector.ts
@@ -186,7 +186,7 @@
     const entry = this.context.table.get(server);
     if (entry === undefined || !isLive(entry.record)) return;
     const record: MemberRecord = { ...entry.record, state: MemberState.Suspect };
-    this.context.incrementCounter('members_suspected');
+    this.context.count('members_suspected');
     this.setSuspicionDeadline(record, now.monotonic + suspicionTimeoutMilliseconds);
     this.context.applyRecord(
       record,
@@ -211,7 +211,7 @@
       this.suspicions.delete(server);
       const entry = this.context.table.get(server);
       if (entry?.record.incarnation !== suspicion.incarnation || !isLive(entry.record)) continue;
-      this.context.incrementCounter('members_declared_dead');
+      this.context.count('members_declared_dead');
       const record: MemberRecord = { ...entry.record, state: MemberState.Dead };
       this.context.applyRecord(
         record,
--- a/packages/core/src/membership/membership-context.ts
+++ b/packages/core/src/membership/membership-context.ts
@@ -15,7 +15,7 @@
   readonly send: (to: MemberRecord, frame: MembershipFrame) => void;
   /** Applies a record that this node created or received; returns whether it changed the table. */
   readonly applyRecord: (record: MemberRecord, origin: RecordOrigin, now: ClockReading) => boolean;
-  readonly incrementCounter: (counter: string, amount?: number) => void;
+  readonly count: (counter: string, amount?: number) => void;
   readonly logEvent: (event: string, fields: Readonly<Record<string, string | number>>) => void;
 }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -238,7 +238,7 @@
       send: ({ server, peerAddress }, frame) =>
         this.commands.push({ kind: 'send', to: server, address: peerAddress, frame }),
       applyRecord: (record, origin, now) => this.applyRecord(record, origin, now),
-      incrementCounter: (counter, amount = 1) =>
+      count: (counter, amount = 1) =>
         this.commands.push({ kind: 'count', counter, labels: {}, by: amount }),
       logEvent: (event, fields) =>
         this.commands.push({ kind: 'log', level: 'info', event, fields }),
--- a/packages/core/src/membership/own-record-manager.ts
+++ b/packages/core/src/membership/own-record-manager.ts
@@ -60,7 +60,7 @@
     // A suspicion ranks below draining, but must be refuted all the same: otherwise the detector
     // declares this node dead.
     if (isSuperseded && record.state !== MemberState.Suspect) return;
-    this.context.incrementCounter('member_suspicions_refuted');
+    this.context.count('member_suspicions_refuted');
     this.applyChange({ incarnation: record.incarnation + 1 }, now);
     const sender = this.context.table.get(from);
     if (sender === undefined) return;
